--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "config/in_service.h"
-#include "fronts/chat.h"
+#include "frontend/chat.h"
 
 namespace gannetcourse::node {
 namespace {
@@ -27,7 +27,7 @@
   options.maxConnections = s.engineConnections;
   options.connectTimeout = s.connectTimeout;
   // Engines must hear of this node often enough to keep its streams.
-  options.keepaliveEvery = std::min(s.keepalive, s.recovery.lease / 4);
+  options.keepaliveEvery = std::min(s.keepalive, s.recovery.engineLease / 4);
   options.keepaliveTimeout = s.keepaliveTimeout;
   options.userAgent = "gannetcourse node/" + s.name + " zone/" + s.zone;
   return options;
@@ -35,13 +35,13 @@
 
 Settings policySettings(const config::NodeSettings& s) {
   Settings settings = s.policy;
-  settings.askDiscovery = !s.registry.empty();
+  settings.subscribeToDiscovery = !s.registry.empty();
   return settings;
 }
 
-std::unique_ptr<Driver> plainDriver(net::Loop& loop, const Settings& settings, router::Options options,
-                                    Driver::Hooks hooks) {
-  return std::make_unique<Driver>(loop, settings, std::move(options), std::move(hooks));
+std::unique_ptr<CoreDriver> plainDriver(net::Loop& loop, const Settings& settings, router::Options options,
+                                        CoreDriver::Hooks hooks) {
+  return std::make_unique<CoreDriver>(loop, settings, std::move(options), std::move(hooks));
 }
 
 resume::Sealer sealerOf(const config::NodeSettings& s) {
@@ -61,37 +61,37 @@
           loop, policySettings(settings_),
           {settings_.name + "-" + start, settings_.answerMargin, bool(hooks_.record), settings_.recovery},
           driverHooks())),
-      fleet_(loop, settings_.name, settings_.recovery.lease, channelOptions(settings_), *driver_),
+      fleet_(loop, settings_.name, settings_.recovery.engineLease, channelOptions(settings_), *driver_),
       server_(loop, *net::parseEndpoint(settings_.listen), serverOptions(settings_)),
       health_(server_, *this),
       saved_(settings_.savedFleet) {
-  driver_->use(fleet_);
-  fronts::serveChat(server_, *this);
+  driver_->attach(fleet_);
+  frontend::serveChat(server_, *this);
   loadLists();
 }
 
 Node::~Node() {
-  driver_->end();  // calls that end with the server are nobody's any more
+  driver_->stop();  // calls that end with the server are nobody's any more
   hooks_ = {};
 }
 
-Driver::Hooks Node::driverHooks() {
-  Driver::Hooks hooks;
-  hooks.record = hooks_.record;
+CoreDriver::Hooks Node::driverHooks() {
+  CoreDriver::Hooks hooks;
+  hooks.onRecord = hooks_.record;
   hooks.subscribe = [this] {
     if (registry_) registry_->subscribe();
   };
-  hooks.goesAway = [this](ServerId engine) {
+  hooks.onEngineGoAway = [this](EngineId engine) {
     log("engines", "info", "engine " + std::to_string(engine.value) + " says that it ends");
   };
-  hooks.turned = [this] { checkDrained(); };
+  hooks.onTimerTurn = [this] { checkDrained(); };
   return hooks;
 }
 
 // The first list is the saved one, which may be old or empty; then come the sources.
 void Node::loadLists() {
   discovery::EngineList first;
-  first.scope = ServerList::Scope::kSaved;
+  first.scope = EngineListUpdate::Scope::kCached;
   if (!settings_.registry.empty()) {
     registry_ = std::make_unique<discovery::RegistryWatch>(
         loop_, *net::parseEndpoint(settings_.registry), settings_.name, translator_,
@@ -105,27 +105,30 @@
     }
   } else {
     first = discovery::loadFleetFile(settings_.fleetFile, translator_);
-    first.scope = ServerList::Scope::kSaved;
+    first.scope = EngineListUpdate::Scope::kCached;
   }
   takeList(first);
 }
 
 void Node::takeList(const discovery::EngineList& list) {
-  if (list.scope == ServerList::Scope::kFailed) log("discovery", "warn", "the registry cannot be heard");
+  if (list.scope == EngineListUpdate::Scope::kFetchFailed)
+    log("discovery", "warn", "the registry cannot be heard");
   merged_.apply(list);
   fleet_.update(list);
   driver_->step([&](router::Core& core, Instant now) {
-    core.serverList(now, list.forPolicy());
-    for (const discovery::Engine& engine : list.engines) core.leaving(now, engine.entry.id, engine.leavesAt);
+    core.onEngineListUpdate(now, list.forPolicy());
+    for (const discovery::Engine& engine : list.engines)
+      core.onEngineShutdownNotice(now, engine.entry.id, engine.leavesAt);
   });
   health_.changed();
-  if (list.scope == ServerList::Scope::kFailed || list.scope == ServerList::Scope::kSaved) return;
+  if (list.scope == EngineListUpdate::Scope::kFetchFailed || list.scope == EngineListUpdate::Scope::kCached)
+    return;
   log("discovery", "info",
       "list version " + std::to_string(list.version) + ": " + std::to_string(list.engines.size()) +
           " entries, " + std::to_string(merged_.engines().size()) + " engines in all");
   if (saved_.failures() > std::exchange(savedFailures_, saved_.failures()))
     log("discovery", "warn", "the list could not be saved: " + settings_.savedFleet);
-  saved_.save(discovery::formatFleet({ServerList::Scope::kFull, list.version, merged_.engines()}));
+  saved_.save(discovery::formatFleet({EngineListUpdate::Scope::kSnapshot, list.version, merged_.engines()}));
 }
 
 void Node::reload(const config::NodeSettings& settings) {
@@ -156,19 +159,21 @@
 }
 
 void Node::checkDrained() {
-  if (!drained_ || core().owed() > 0 || fleet_.smallCalls() > 0 || server_.calls() > 0) return;
+  if (!drained_ || core().pendingObligations() > 0 || fleet_.auxiliaryCalls() > 0 || server_.calls() > 0)
+    return;
   loop_.defer(std::exchange(drained_, nullptr));
 }
 
-bool Node::serving() const { return !core().draining() && !merged_.engines().empty(); }
+bool Node::isServing() const { return !core().isDraining() && !merged_.engines().empty(); }
 
 // ---- From the fronts ----
-void Node::open(router::RequestKey key, router::Arrival arrival, std::shared_ptr<fronts::ClientSide> client) {
-  driver_->open(key, std::move(arrival), std::move(client));
+void Node::openRequest(router::RequestKey key, router::NewRequest arrival,
+                       std::shared_ptr<frontend::ClientStream> client) {
+  driver_->openRequest(key, std::move(arrival), std::move(client));
 }
 
-void Node::clientGone(router::RequestKey request) { driver_->clientGone(request); }
-void Node::pause(router::RequestKey request, bool paused) { driver_->pause(request, paused); }
+void Node::onClientDisconnected(router::RequestKey request) { driver_->onClientDisconnected(request); }
+void Node::pauseRequest(router::RequestKey request, bool paused) { driver_->pauseRequest(request, paused); }
 
 void Node::log(const char* package, const char* level, const std::string& text) {
   if (hooks_.log) hooks_.log(package, level, text);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -10,23 +10,23 @@
 #include "config/settings.h"
 #include "discovery/registry.h"
 #include "engines/fleet.h"
-#include "fronts/health.h"
-#include "fronts/router_side.h"
+#include "frontend/health.h"
+#include "frontend/router_handle.h"
 #include "gannetcourse/router.h"
 #include "grpc/server.h"
-#include "node/driver.h"
+#include "node/core_driver.h"
 
 namespace gannetcourse::node {
 
-class Node final : private fronts::RouterSide {
+class Node final : private frontend::RouterHandle {
  public:
   struct Hooks {
     std::function<void(const router::Record&)> record;  // each decision; must not block
     std::function<void(const std::string& package, const std::string& level, const std::string& text)> log;
   };
   // Makes what runs the core and carries its commands out.
-  using DriverFactory =
-      std::function<std::unique_ptr<Driver>(net::Loop&, const Settings&, router::Options, Driver::Hooks)>;
+  using DriverFactory = std::function<std::unique_ptr<CoreDriver>(net::Loop&, const Settings&,
+                                                                  router::Options, CoreDriver::Hooks)>;
 
   // Listens, reads its lists and starts. `start` tells apart the node's lives (request names carry it).
   // Throws std::system_error where it cannot listen, config::Faults where the fleet file is unusable.
@@ -51,15 +51,15 @@
   const resume::Sealer& sealer() const override { return sealer_; }
 
  private:
-  // ---- fronts::RouterSide ----
-  void open(router::RequestKey key, router::Arrival arrival,
-            std::shared_ptr<fronts::ClientSide> client) override;
-  router::RequestKey nextKey() override { return driver_->nextKey(); }
-  void clientGone(router::RequestKey request) override;
-  void pause(router::RequestKey request, bool paused) override;
-  bool serving() const override;
+  // ---- frontend::RouterSide ----
+  void openRequest(router::RequestKey key, router::NewRequest arrival,
+                   std::shared_ptr<frontend::ClientStream> client) override;
+  router::RequestKey nextRequestKey() override { return driver_->nextRequestKey(); }
+  void onClientDisconnected(router::RequestKey request) override;
+  void pauseRequest(router::RequestKey request, bool paused) override;
+  bool isServing() const override;
 
-  Driver::Hooks driverHooks();
+  CoreDriver::Hooks driverHooks();
   void takeList(const discovery::EngineList& list);
   void loadLists();
   void checkDrained();
@@ -70,10 +70,10 @@
   resume::Sealer sealer_;
   Hooks hooks_;
   discovery::Translator translator_;
-  std::unique_ptr<Driver> driver_;
+  std::unique_ptr<CoreDriver> driver_;
   engines::Fleet fleet_;
   grpc::Server server_;
-  fronts::Health health_;
+  frontend::Health health_;
   discovery::Merged merged_;
   discovery::SavedList saved_;
   std::uint64_t savedFailures_ = 0;  // of which the log has been told
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -18,15 +18,15 @@
 
 http1::ClientOptions watchOptions() {
   http1::ClientOptions options;
-  options.limits.body = 0;
+  options.limits.maxBodyBytes = 0;
   options.maxConnections = 2;
   options.connectTimeout = Duration(0.5);
   return options;
 }
 
-ServerEntry::State stateOf(const std::string& status) {
-  if (status == "removed") return ServerEntry::State::kGone;
-  return status == "draining" ? ServerEntry::State::kDraining : ServerEntry::State::kServing;
+EngineEntry::State stateOf(const std::string& status) {
+  if (status == "removed") return EngineEntry::State::kRemoved;
+  return status == "draining" ? EngineEntry::State::kDraining : EngineEntry::State::kServing;
 }
 
 // What an engine that is to be sent work has to tell of itself. Throws instance::Malformed.
@@ -46,7 +46,7 @@
   ToldEngine told;
   told.entry.id = numberOf(instance::text(entry, "name"));
   told.entry.state = stateOf(instance::word(entry, "status", "up"));
-  const bool serves = told.entry.state == ServerEntry::State::kServing;
+  const bool serves = told.entry.state == EngineEntry::State::kServing;
   try {
     readDescription(told, entry, names, clock);
   } catch (const instance::Malformed&) {
@@ -58,15 +58,15 @@
 
 }  // namespace
 
-ServerList ToldList::forPolicy() const {
-  ServerList list{full ? ServerList::Scope::kFull : ServerList::Scope::kChanges, {}};
+EngineListUpdate ToldList::forPolicy() const {
+  EngineListUpdate list{full ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta, {}};
   for (const ToldEngine& engine : engines) list.entries.push_back(engine.entry);
   return list;
 }
 
 // FNV-1a, 32 bits. Homes of sessions go by these numbers: nodes of all versions must agree on them, and
 // another hash moves every home.
-ServerId numberOf(const std::string& name) {
+EngineId numberOf(const std::string& name) {
   std::uint32_t hash = 2166136261U;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
   return {hash};
@@ -129,11 +129,12 @@
 }
 
 // ---- The watch ----
-class Watch::Stream final : public http1::CallSink, public std::enable_shared_from_this<Watch::Stream> {
+class Watch::Stream final : public http1::ResponseHandler,
+                            public std::enable_shared_from_this<Watch::Stream> {
  public:
   explicit Stream(Watch& watch) : watch_(&watch), openedAt(watch.loop_.now()), heardAt(openedAt) {}
-  void head(const http1::ResponseHead& head) override { good_ = head.status == 200; }
-  void body(std::string_view bytes) override {
+  void onHead(const http1::ResponseHead& head) override { good_ = head.status == 200; }
+  void onBody(std::string_view bytes) override {
     const std::shared_ptr<Stream> self = shared_from_this();
     if (watch_ == nullptr || !good_) return;
     const bool alive = cutter_.take(bytes, [this](const std::string& object) {
@@ -141,7 +142,7 @@
     });
     if (alive && watch_ != nullptr) watch_->spoke(*this, nullptr);
   }
-  void end(http1::End, const std::string&) override {
+  void onEnd(http1::CallResult, const std::string&) override {
     const std::shared_ptr<Stream> self = shared_from_this();
     if (watch_ != nullptr) watch_->ended(self);
   }
@@ -170,15 +171,15 @@
       note_(std::move(note)),
       client_(loop, watchOptions()) {
   openBeside();
-  look_ = loop_.after(kLook, [this] { look(); });
+  look_ = loop_.runAfter(kLook, [this] { look(); });
 }
 
 Watch::~Watch() {
   for (const auto& stream : {older_, newer_}) {
     if (stream) stream->leave();
   }
-  loop_.cancel(retry_);
-  loop_.cancel(look_);
+  loop_.cancelTimer(retry_);
+  loop_.cancelTimer(look_);
 }
 
 void Watch::moveTo(const net::Endpoint& at) {
@@ -197,7 +198,7 @@
 void Watch::openAfter(Duration pause) {
   if (retry_ != 0) return;
   const Duration wait = pause * std::uniform_real_distribution<double>(0.5, 1)(random_);
-  retry_ = loop_.after(wait, [this] {
+  retry_ = loop_.runAfter(wait, [this] {
     retry_ = 0;
     openBeside();
   });
@@ -205,7 +206,7 @@
 
 // Opens one, beside the one that has been open for longest, if any.
 void Watch::openBeside() {
-  loop_.cancel(std::exchange(retry_, 0));
+  loop_.cancelTimer(std::exchange(retry_, 0));
   if (newer_) newer_->leave();
   newer_.reset();
   ++opened_;
@@ -244,7 +245,7 @@
 }
 
 void Watch::look() {
-  look_ = loop_.after(kLook, [this] { look(); });
+  look_ = loop_.runAfter(kLook, [this] { look(); });
   if (retry_ != 0 || !older_) return;
   const Instant now = loop_.now();
   const bool silent = now - older_->heardAt > kSilent;
--- a/src/platform/discovery.h
+++ b/src/platform/discovery.h
@@ -16,18 +16,18 @@
 namespace gannetcourse::platform {
 
 struct ToldEngine {
-  ServerEntry entry;
+  EngineEntry entry;
   std::optional<net::Endpoint> address;  // an engine that drains or is gone may be told without
 };
 struct ToldList {
   std::uint64_t index = 0;
   bool full = false;
   std::vector<ToldEngine> engines;
-  ServerList forPolicy() const;
+  EngineListUpdate forPolicy() const;
 };
 
 // The module's number of an engine: the same at every node, whatever it has seen before.
-ServerId numberOf(const std::string& name);
+EngineId numberOf(const std::string& name);
 
 // Reads one object of the protocol. Unknown fields, states and kinds are passed over; an entry that has no
 // name or address is left out. Nothing where the object itself cannot be read.
--- a/src/platform/engine_table.h
+++ b/src/platform/engine_table.h
@@ -18,6 +18,6 @@
   bool serves() const { return !gone && !draining; }
 };
 
-using EngineTable = std::map<ServerId, Engine>;
+using EngineTable = std::map<EngineId, Engine>;
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -28,14 +28,15 @@
 // What a read or write is asked with. The time told is what is left at the send, not at the decision: a
 // connection may take its time to come up.
 http1::Client::HeadMaker attemptHead(net::Loop& loop, const net::Endpoint& to, const std::string& id,
-                                     Duration waits, const std::shared_ptr<const router::Work>& work) {
+                                     Duration waits,
+                                     const std::shared_ptr<const router::RequestPayload>& work) {
   return [&loop, to, id, until = loop.now() + waits, work] {
     const double leftMs = std::floor((until - loop.exactNow()).count() * 1000);
     const auto budget = static_cast<std::int64_t>(std::max(1.0, leftMs));
     return headOf("POST", work->target, to,
                   "X-Call-Id: " + id + "\r\nX-Budget-Ms: " + std::to_string(budget) +
                       "\r\nContent-Type: application/json\r\nContent-Length: " +
-                      std::to_string(work->prompt.size()) + "\r\n" + work->fields);
+                      std::to_string(work->prompt.size()) + "\r\n" + work->headerFields);
   };
 }
 
@@ -48,13 +49,13 @@
   return Outcome::kError;
 }
 
-Outcome outcomeOf(http1::End how) {
+Outcome outcomeOf(http1::CallResult how) {
   switch (how) {
-    case http1::End::kNoRoom:
+    case http1::CallResult::kNoConnectionAvailable:
       return Outcome::kNotSent;
-    case http1::End::kNotConnected:
+    case http1::CallResult::kNotConnected:
       return Outcome::kConnectFailed;
-    case http1::End::kSpoilt:  // it may have run; who sends noise is there, so contact is not lost
+    case http1::CallResult::kMalformed:  // it may have run; who sends noise is there, so contact is not lost
       return Outcome::kError;
     default:
       return Outcome::kReset;
@@ -62,12 +63,12 @@
 }
 
 // One attempt's answer: a read's 202, a stream, or a status that ends it.
-class Engines::Attempt final : public http1::CallSink, public std::enable_shared_from_this<Attempt> {
+class Engines::Attempt final : public http1::ResponseHandler, public std::enable_shared_from_this<Attempt> {
  public:
-  Attempt(Engines& owner, router::CallKey key, ServerId engine, bool reads)
+  Attempt(Engines& owner, router::CallKey key, EngineId engine, bool reads)
       : engine(engine), owner_(owner), key_(key), reads_(reads) {}
 
-  void head(const http1::ResponseHead& head) override {
+  void onHead(const http1::ResponseHead& head) override {
     heardAt = owner_.loop_.now();
     owner_.heardFrom(engine);
     status_ = head.status;
@@ -80,7 +81,7 @@
     if (!answers) endWithoutBody();
   }
 
-  void body(std::string_view bytes) override {
+  void onBody(std::string_view bytes) override {
     heardAt = owner_.loop_.now();
     owner_.heardFrom(engine);
     const std::shared_ptr<Attempt> self = shared_from_this();
@@ -102,13 +103,14 @@
     if (!good && !over) giveUp(Outcome::kError, "its events cannot be read");
   }
 
-  void end(http1::End how, const std::string& why) override {
+  void onEnd(http1::CallResult how, const std::string& why) override {
     const std::shared_ptr<Attempt> self = shared_from_this();
     if (over) return;
-    if (how != http1::End::kWhole && status_ != 0 && !streams_ && !(reads_ && status_ == 202))
+    if (how != http1::CallResult::kComplete && status_ != 0 && !streams_ && !(reads_ && status_ == 202))
       return finishByStatus();  // its head has said it
-    if (how == http1::End::kSpoilt) return finish(outcomeOf(how), why, recovery::Ending::kCalledOff);
-    if (how != http1::End::kWhole) return finish(outcomeOf(how), why);
+    if (how == http1::CallResult::kMalformed)
+      return finish(outcomeOf(how), why, recovery::AttemptEnd::kAbandoned);
+    if (how != http1::CallResult::kComplete) return finish(outcomeOf(how), why);
     if (streams_) {
       const bool whole = events_.finish([this](std::string event) {
         if (events_.ended()) passOn(std::move(event));
@@ -122,13 +124,13 @@
   }
 
   void passOn(std::string event) {
-    if (!over) owner_.sink_.token(key_, next_++, std::move(event));
+    if (!over) owner_.sink_.onToken(key_, next_++, std::move(event));
   }
 
   // Gives it up: its connection has no further use.
   void giveUp(Outcome outcome, const char* why) {
     owner_.client_.cancel(call);
-    finish(outcome, why, recovery::Ending::kCalledOff);
+    finish(outcome, why, recovery::AttemptEnd::kAbandoned);
   }
 
   void abandon() {
@@ -149,7 +151,7 @@
     if (eventSince_) eventSince_ = heardAt;  // the wait was ours
   }
 
-  const ServerId engine;
+  const EngineId engine;
   http1::CallId call = 0;
   Instant heardAt{};
   bool over = false, paused = false;
@@ -160,7 +162,7 @@
 
   // The status has said how the attempt ended. Its body says nothing more and may never come.
   void endWithoutBody() {
-    owner_.loop_.after(kStatusBody, [self = weak_from_this(), alive = owner_.alive_] {
+    owner_.loop_.runAfter(kStatusBody, [self = weak_from_this(), alive = owner_.alive_] {
       const auto attempt = self.lock();
       if (!*alive || !attempt || attempt->over) return;
       attempt->owner_.client_.cancel(attempt->call);
@@ -173,12 +175,13 @@
   void finishByStatus() {
     const bool otherSuccess = reads_ && status_ / 100 == 2 && status_ != 202;
     finish(outcomeOf(status_, notRun_, reads_), statusText(),
-           otherSuccess ? recovery::Ending::kCalledOff : recovery::Ending::kTold);
+           otherSuccess ? recovery::AttemptEnd::kAbandoned : recovery::AttemptEnd::kConfirmed);
   }
 
   std::string statusText() const { return "status " + std::to_string(status_); }
 
-  void finish(Outcome outcome, const std::string& why, recovery::Ending ending = recovery::Ending::kTold) {
+  void finish(Outcome outcome, const std::string& why,
+              recovery::AttemptEnd ending = recovery::AttemptEnd::kConfirmed) {
     over = true;
     const std::optional<LoadReport> load = events_.load() ? events_.load() : load_;
     owner_.ended(key_);
@@ -186,9 +189,9 @@
       const Json reply = Json::parse(text_, nullptr, false);
       const bool told =
           reply.is_object() && reply.contains("cached_tokens") && reply["cached_tokens"].is_number();
-      return owner_.sink_.readEnded(key_, "", told ? reply["cached_tokens"].get<double>() : 0, load);
+      return owner_.sink_.onPrefillEnded(key_, "", told ? reply["cached_tokens"].get<double>() : 0, load);
     }
-    owner_.sink_.callEnded(key_, outcome, events_.keptTokens(), load, why, ending);
+    owner_.sink_.onCallEnded(key_, outcome, events_.keptTokens(), load, why, ending);
   }
 
   Engines& owner_;
@@ -202,21 +205,21 @@
   std::optional<LoadReport> load_;
 };
 
-Engines::Engines(net::Loop& loop, const http1::ClientOptions& options, engines::Sink& sink)
+Engines::Engines(net::Loop& loop, const http1::ClientOptions& options, engines::EngineEventHandler& sink)
     : loop_(loop),
       client_(loop, options),
       sink_(sink),
-      releases_(loop, client_, engines_, [this](ServerId engine) { heardFrom(engine); }) {
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+      releases_(loop, client_, engines_, [this](EngineId engine) { heardFrom(engine); }) {
+  sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
 Engines::~Engines() {
   *alive_ = false;
-  loop_.cancel(sweepTimer_);
+  loop_.cancelTimer(sweepTimer_);
   for (auto& [key, attempt] : calls_) attempt->over = true;
 }
 
-void Engines::heardFrom(ServerId engine) {
+void Engines::heardFrom(EngineId engine) {
   const auto it = engines_.find(engine);
   if (it != engines_.end()) it->second.heardAt = loop_.now();
 }
@@ -238,21 +241,21 @@
     if (!std::exchange(engine.stopped, true) && addressFree) client_.cancelUnsent(engine.address);
     if (!engine.gone || engine.goneAt != Instant{}) continue;
     engine.goneAt = loop_.now();
-    if (addressFree) client_.forget(engine.address);
+    if (addressFree) client_.retireEndpoint(engine.address);
   }
 }
 
 void Engines::take(const ToldEngine& told) {
-  const bool gone = told.entry.state == ServerEntry::State::kGone;
+  const bool gone = told.entry.state == EngineEntry::State::kRemoved;
   const bool known = engines_.count(told.entry.id) > 0;
   if (gone && !known) return;
   Engine& engine = engines_[told.entry.id];
   engine.gone = gone;
-  engine.draining = told.entry.state == ServerEntry::State::kDraining;
+  engine.draining = told.entry.state == EngineEntry::State::kDraining;
   if (gone || !told.address) return;
-  if (known && engine.address != *told.address) client_.forget(engine.address);
+  if (known && engine.address != *told.address) client_.retireEndpoint(engine.address);
   engine.address = *told.address;
-  client_.remember(engine.address);
+  client_.restoreEndpoint(engine.address);
 }
 
 std::set<net::Endpoint> Engines::servingAddresses() const {
@@ -263,23 +266,23 @@
   return addresses;
 }
 
-void Engines::start(const router::StartRead& read) {
-  begin(read.call, read.engine, read.id, read.waits, read.work, true);
+void Engines::start(const router::StartPrefill& read) {
+  begin(read.call, read.engine, read.id, read.timeout, read.payload, true);
 }
 
-void Engines::start(const router::StartWrite& write) {
-  begin(write.call, write.engine, write.id, write.waits, write.work, false);
+void Engines::start(const router::StartDecode& write) {
+  begin(write.call, write.engine, write.id, write.timeout, write.payload, false);
 }
 
-void Engines::begin(router::CallKey call, ServerId engine, const std::string& id, Duration waits,
-                    const std::shared_ptr<const router::Work>& work, bool reads) {
+void Engines::begin(router::CallKey call, EngineId engine, const std::string& id, Duration waits,
+                    const std::shared_ptr<const router::RequestPayload>& work, bool reads) {
   const auto attempt = std::make_shared<Attempt>(*this, call, engine, reads);
   attempt->heardAt = loop_.now();
   calls_[call] = attempt;
   const auto it = engines_.find(engine);
   if (it == engines_.end()) {
     loop_.defer([attempt, alive = alive_] {
-      if (*alive) attempt->end(http1::End::kNotConnected, "engine has no address");
+      if (*alive) attempt->onEnd(http1::CallResult::kNotConnected, "engine has no address");
     });
     return;
   }
@@ -288,37 +291,37 @@
                                 std::shared_ptr<const std::string>(work, &work->prompt), attempt);
 }
 
-void Engines::callOff(router::CallKey call) {
+void Engines::cancelCall(router::CallKey call) {
   const auto node = calls_.extract(call);
   if (!node.empty()) node.mapped()->abandon();
 }
 
-void Engines::pause(router::CallKey call, bool paused) {
+void Engines::pauseStream(router::CallKey call, bool paused) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return;
   it->second->pause(paused);
-  client_.freeze(it->second->call, paused);
+  client_.pauseReading(it->second->call, paused);
 }
 
-void Engines::probe(ServerId engine) {
+void Engines::probe(EngineId engine) {
   loop_.defer([this, alive = alive_, engine] {
-    if (*alive) sink_.probeEnded(engine, Outcome::kNotSent, Duration(0), {});
+    if (*alive) sink_.onProbeEnded(engine, Outcome::kNotSent, Duration(0), {});
   });
 }
 
-void Engines::reserve(const router::ReserveSeat& seat) {
+void Engines::reserve(const router::ReserveCapacity& seat) {
   const auto it = engines_.find(seat.engine);
-  if (it == engines_.end()) return sink_.seatAnswered(seat.request, seat.engine, false);
+  if (it == engines_.end()) return sink_.onReservationResult(seat.request, seat.engine, false);
   const auto small = std::make_shared<StatusReply>(
       [this, alive = alive_, key = seat.request, engine = seat.engine](int status) {
-        if (*alive) sink_.seatAnswered(key, engine, status == 200);
+        if (*alive) sink_.onReservationResult(key, engine, status == 200);
       });
   std::string head = headOf("POST", "/kv/leases/" + seat.id, it->second.address, "Content-Length: 0\r\n");
   client_.start(
       it->second.address, [head = std::move(head)] { return head; }, nullptr, small);
 }
 
-void Engines::letGo(const router::LetGo& letGo) { releases_.begin(letGo.id); }
+void Engines::releaseState(const router::ReleaseState& letGo) { releases_.begin(letGo.id); }
 
 void Engines::sweep() {
   const Instant now = loop_.now();
@@ -336,14 +339,14 @@
     const bool old = e.second.gone && now - e.second.goneAt > kForgetGone &&
                      std::none_of(calls_.begin(), calls_.end(),
                                   [&](const auto& c) { return c.second->engine == e.first; });
-    if (old) client_.remember(e.second.address);  // it may be another's by now
+    if (old) client_.restoreEndpoint(e.second.address);  // it may be another's by now
     return old;
   });
-  sweepTimer_ = loop_.after(kSweep, [this] { sweep(); });
+  sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
-std::map<ServerId, std::size_t> Engines::openByEngine() const {
-  std::map<ServerId, std::size_t> open;
+std::map<EngineId, std::size_t> Engines::openByEngine() const {
+  std::map<EngineId, std::size_t> open;
   for (const auto& [key, attempt] : calls_) ++open[attempt->engine];
   return open;
 }
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -33,7 +33,7 @@
 }
 
 // "prefix=HEX,prompt_len=N,prefix_len=N,max_out=N"; unknown names are passed over. False where one is wrong.
-bool readInfo(std::string_view text, router::Arrival& arrival, router::Work& work) {
+bool readInfo(std::string_view text, router::NewRequest& arrival, router::RequestPayload& work) {
   while (!text.empty()) {
     const auto comma = std::min(text.size(), text.find(','));
     const std::string_view pair = text.substr(0, comma);
@@ -46,7 +46,7 @@
     if (name == "prefix") {
       const auto key = instance::hexKey(std::string(value));
       if (!key) return false;
-      arrival.prefix = *key;
+      arrival.prefixKey = *key;
       continue;
     }
     std::uint32_t* const field = name == "prompt_len"   ? &work.promptTokens
@@ -79,7 +79,7 @@
 std::string passedOn(const http1::Fields& fields) {
   const std::string& nominated = valueOf(fields, "Connection");
   const auto ofConnection = [&](std::string_view name) {
-    const auto same = [&](std::string_view other) { return http1::sameName(name, other); };
+    const auto same = [&](std::string_view other) { return http1::equalsIgnoreCase(name, other); };
     if (std::any_of(kNotPassedOn.begin(), kNotPassedOn.end(), same)) return true;
     for (std::size_t from = 0; from < nominated.size();) {
       const std::size_t end = std::min(nominated.size(), nominated.find(',', from));
@@ -107,13 +107,13 @@
 
 }  // namespace
 
-std::variant<router::Arrival, Fault> readArrival(http1::Request& request, const instance::Names& names) {
+std::variant<router::NewRequest, Fault> readArrival(http1::Request& request, const instance::Names& names) {
   const http1::Fields& fields = request.fields;
   for (const char* const once : {"X-Call-Id", "X-Call-Class", "X-Route-Hash", "X-Budget-Ms", "X-Call-Info"}) {
     if (fields.count(once) > 1) return Fault{400, std::string(once) + " comes more than once"};
   }
-  router::Arrival arrival;
-  auto work = std::make_shared<router::Work>();
+  router::NewRequest arrival;
+  auto work = std::make_shared<router::RequestPayload>();
   arrival.id = valueOf(fields, "X-Call-Id");
   if (!isId(arrival.id)) return Fault{400, "X-Call-Id is missing or no id"};
   work->requestClass = valueOf(fields, "X-Call-Class");
@@ -125,30 +125,30 @@
   work->tenant = tenant;
   const auto budget = numberIn(valueOf(fields, "X-Budget-Ms"), kMostBudgetMs);
   if (!budget || *budget == 0) return Fault{400, "X-Budget-Ms is missing or no number of milliseconds"};
-  arrival.timeLeft = Duration(static_cast<double>(*budget) / 1000);
-  arrival.untilFirstToken = true;
+  arrival.timeUntilDeadline = Duration(static_cast<double>(*budget) / 1000);
+  arrival.deadlineEndsAtFirstToken = true;
   const std::string& session = valueOf(fields, "X-Route-Hash");
   const auto key = instance::hexKey(session);
   if (!session.empty() && !key) return Fault{400, "X-Route-Hash is no key of hex digits"};
-  arrival.session = key.value_or(0);
+  arrival.sessionKey = key.value_or(0);
   arrival.isRetry = !valueOf(fields, "X-Again").empty();
   const std::string& hint = valueOf(fields, "X-Call-Cost");
   const auto cost = numberIn(hint, UINT64_MAX);
-  if (cost && *cost > 0) arrival.answerHint = Duration(static_cast<double>(*cost) * 1e-6);
+  if (cost && *cost > 0) arrival.expectedOutputDuration = Duration(static_cast<double>(*cost) * 1e-6);
   if (!readInfo(valueOf(fields, "X-Call-Info"), arrival, *work))
     return Fault{400, "X-Call-Info cannot be read"};
   if (request.body.empty() || request.body.front() != '{' || !Json::accept(request.body))
     return Fault{400, "the body is no JSON object"};
   if (work->promptTokens == 0) work->promptTokens = static_cast<std::uint32_t>(request.body.size() / 4);
-  work->fields = passedOn(fields);
+  work->headerFields = passedOn(fields);
   work->target = std::move(request.target);
   work->prompt = std::move(request.body);
-  arrival.work = std::move(work);
+  arrival.payload = std::move(work);
   return arrival;
 }
 
 // A request that the core has. The head goes out with the first event.
-class Front::Client final : public fronts::ClientSide {
+class Front::Client final : public frontend::ClientStream {
  public:
   Client(Front& front, std::shared_ptr<http1::Exchange> exchange, std::string id, std::uint64_t bytes)
       : front_(front), exchange_(std::move(exchange)), id_(std::move(id)), bytes_(bytes) {
@@ -157,20 +157,21 @@
   }
   ~Client() override { leave(); }
 
-  void deliver(const router::Deliver& event) override {
-    if (!std::exchange(begun_, true)) exchange_->begin(kEvents);
-    exchange_->chunk(event.text);
+  void sendToken(const router::SendToken& event) override {
+    if (!std::exchange(begun_, true)) exchange_->beginStream(kEvents);
+    exchange_->sendChunk(event.text);
   }
 
-  void answer(const router::Answer& answer) override {
+  void sendFinalResponse(const router::FinalResponse& answer) override {
     leave();
-    exchange_->onGone = nullptr;
+    exchange_->onClientDisconnected = nullptr;
     if (begun_) {
-      answer.verdict == router::Verdict::kServed ? exchange_->end() : exchange_->cut();
-    } else if (answer.verdict == router::Verdict::kRefused) {
-      exchange_->respond(503, retryAfterLine(answer.retryAfter), answer.why + "\n");
+      answer.status == router::FinalStatus::kServed ? exchange_->endStream() : exchange_->abortStream();
+    } else if (answer.status == router::FinalStatus::kRejected) {
+      exchange_->respond(503, retryAfterLine(answer.retryAfter), answer.reason + "\n");
     } else {
-      exchange_->respond(answer.verdict == router::Verdict::kDeadline ? 504 : 502, "", answer.why + "\n");
+      exchange_->respond(answer.status == router::FinalStatus::kDeadlineExceeded ? 504 : 502, "",
+                         answer.reason + "\n");
     }
   }
 
@@ -194,13 +195,13 @@
   const Bounds bounds = boundsOf(configuration);
   http1::ServerOptions options;
   options.maxConnections = bounds.clientConnections;
-  options.maxHeld = bounds.heldBytes / 2;
+  options.maxBufferedRequestBytes = bounds.heldBytes / 2;
   return options;
 }
 
 }  // namespace
 
-Front::Front(net::Loop& loop, const Configuration& configuration, node::Driver& driver)
+Front::Front(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver)
     : driver_(driver),
       server_(loop, configuration.listen, serverOptions(configuration),
               [this](const std::shared_ptr<http1::Exchange>& exchange) { handle(exchange); }) {
@@ -210,8 +211,9 @@
 void Front::take(const Configuration& configuration) {
   names_ = configuration.names;
   bounds_ = boundsOf(configuration);
-  retryAfter_ = configuration.policy.retryAfterHeeded ? configuration.policy.maxRetryAfter : Duration(0);
-  server_.take(serverOptions(configuration));
+  retryAfter_ =
+      configuration.policy.clientsHonorRetryAfter ? configuration.policy.maxRetryAfter : Duration(0);
+  server_.setOptions(serverOptions(configuration));
 }
 
 void Front::drain() {
@@ -242,16 +244,16 @@
 void Front::handleChat(const std::shared_ptr<http1::Exchange>& exchange) {
   auto read = readArrival(exchange->request, names_);
   if (const Fault* const fault = std::get_if<Fault>(&read)) return turnAway(*exchange, *fault);
-  router::Arrival& arrival = std::get<router::Arrival>(read);
+  router::NewRequest& arrival = std::get<router::NewRequest>(read);
   if (ids_.count(arrival.id) > 0) return turnAway(*exchange, {409, "X-Call-Id is that of an open request"});
-  const std::uint64_t bytes = arrival.work->prompt.size() + arrival.work->fields.size();
+  const std::uint64_t bytes = arrival.payload->prompt.size() + arrival.payload->headerFields.size();
   if (ids_.size() >= bounds_.openRequests || held_ + bytes > bounds_.heldBytes)
     return turnAway(*exchange, {503, "the node has all that it can hold"});
-  const router::RequestKey key = arrival.key = driver_.nextKey();
+  const router::RequestKey key = arrival.key = driver_.nextRequestKey();
   auto client = std::make_shared<Client>(*this, exchange, arrival.id, bytes);
-  exchange->onGone = [this, key] { driver_.clientGone(key); };
-  exchange->onPaused = [this, key](bool paused) { driver_.pause(key, paused); };
-  driver_.open(key, std::move(arrival), std::move(client));
+  exchange->onClientDisconnected = [this, key] { driver_.onClientDisconnected(key); };
+  exchange->onBackpressure = [this, key](bool paused) { driver_.pauseRequest(key, paused); };
+  driver_.openRequest(key, std::move(arrival), std::move(client));
 }
 
 }  // namespace gannetcourse::platform
--- a/src/platform/front.h
+++ b/src/platform/front.h
@@ -7,7 +7,7 @@
 #include <variant>
 
 #include "http1/server.h"
-#include "node/driver.h"
+#include "node/core_driver.h"
 #include "platform/configuration.h"
 
 namespace gannetcourse::platform {
@@ -18,18 +18,18 @@
   std::string why;
 };
 // What a request asks, its id included; its key is the caller's. `body` of it is moved into the work.
-std::variant<router::Arrival, Fault> readArrival(http1::Request& request, const instance::Names& names);
+std::variant<router::NewRequest, Fault> readArrival(http1::Request& request, const instance::Names& names);
 
 class Front {
  public:
-  Front(net::Loop& loop, const Configuration& configuration, node::Driver& driver);
+  Front(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver);
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
 
   void ready(bool ready) { ready_ = ready; }
   void take(const Configuration& configuration);
   void drain();  // not ready, refuses what is new
-  void end() { server_.end(); }
+  void end() { server_.shutdown(); }
   std::uint16_t port() const { return server_.port(); }
   const http1::Server& server() const { return server_; }
   std::uint64_t turnedAway() const { return turnedAway_; }
@@ -40,7 +40,7 @@
   void handleChat(const std::shared_ptr<http1::Exchange>& exchange);
   void turnAway(http1::Exchange& exchange, const Fault& fault);
 
-  node::Driver& driver_;
+  node::CoreDriver& driver_;
   instance::Names names_;
   Bounds bounds_;
   Duration retryAfter_{0};  // that a refusal of the host's own names
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -23,7 +23,7 @@
   http1::ClientOptions options;
   options.maxConnections = boundsOf(c).engineConnections;
   options.connectTimeout = c.connectTimeout;
-  options.idle = c.connIdle / 2;
+  options.idleTimeout = c.connIdle / 2;
   return options;
 }
 
@@ -34,9 +34,9 @@
 
 router::Options coreOptions(const Configuration& c, bool records) {
   router::Options options;
-  options.node = c.name;
-  options.answerMargin = kAnswerMargin;
-  options.records = records;
+  options.nodeName = c.name;
+  options.responseMargin = kAnswerMargin;
+  options.recordsEnabled = records;
   options.recovery.enabled = false;  // the events of one engine's stream, unchanged
   return options;
 }
@@ -53,13 +53,13 @@
               driverHooks(record)),
       engines_(loop, clientOptions(configuration_), driver_),
       front_(loop, configuration_, driver_) {
-  driver_.use(engines_);
-  engines_.takePinLimit(configuration_.policy.pinLimit);
+  driver_.attach(engines_);
+  engines_.takePinLimit(configuration_.policy.stateLeaseLimit);
   engines_.releases().logTo(
       [this](const std::string& level, const std::string& text) { log_("engines", level, text); });
   takeList(configuration_.known.is_object() ? configuration_.known : Json::object(), true);
-  readyTimer_ = loop_.after(engines_.known() > 0 ? kFirstWord : kNoListWithin,
-                            [this] { becomeReady("without a word of discovery"); });
+  readyTimer_ = loop_.runAfter(engines_.known() > 0 ? kFirstWord : kNoListWithin,
+                               [this] { becomeReady("without a word of discovery"); });
   watch_ = std::make_unique<Watch>(
       loop_, configuration_.discovery, version_.held(), configuration_.policy.seed,
       [this](const std::string& object) { takeObject(object); },
@@ -68,23 +68,23 @@
 }
 
 Node::~Node() {
-  driver_.end();
-  loop_.cancel(reportTimer_);
-  loop_.cancel(readyTimer_);
+  driver_.stop();
+  loop_.cancelTimer(reportTimer_);
+  loop_.cancelTimer(readyTimer_);
 }
 
-node::Driver::Hooks Node::driverHooks(const std::function<void(const router::Record&)>& record) {
-  node::Driver::Hooks hooks;
-  hooks.record = record;
-  if (!record) hooks.record = [this](const router::Record& r) { logViolation(r); };
-  hooks.turned = [this] { checkDrained(); };
+node::CoreDriver::Hooks Node::driverHooks(const std::function<void(const router::Record&)>& record) {
+  node::CoreDriver::Hooks hooks;
+  hooks.onRecord = record;
+  if (!record) hooks.onRecord = [this](const router::Record& r) { logViolation(r); };
+  hooks.onTimerTurn = [this] { checkDrained(); };
   return hooks;
 }
 
 // Where no records are asked for, a rule that was broken is still told of, with its request.
 void Node::logViolation(const router::Record& record) {
   if (record.action != std::string("violation")) return;
-  log_("router", "error", "violation: " + record.why + " by request " + record.request);
+  log_("router", "error", "violation: " + record.reason + " by request " + record.request);
 }
 
 void Node::takeObject(const std::string& text) {
@@ -108,9 +108,9 @@
     return watch_->askWhole();
   if (watch_) watch_->reached(list->index);
   engines_.update(*list);
-  ServerList told = list->forPolicy();
-  if (saved) told.scope = ServerList::Scope::kSaved;
-  driver_.step([&](router::Core& core, Instant now) { core.serverList(now, told); });
+  EngineListUpdate told = list->forPolicy();
+  if (saved) told.scope = EngineListUpdate::Scope::kCached;
+  driver_.step([&](router::Core& core, Instant now) { core.onEngineListUpdate(now, told); });
   if (!saved) becomeReady("with discovery's list");
 }
 
@@ -134,7 +134,7 @@
   const bool moved = fresh.discovery != configuration_.discovery;
   configuration_ = std::move(fresh);
   engines_.take(clientOptions(configuration_));
-  engines_.takePinLimit(configuration_.policy.pinLimit);
+  engines_.takePinLimit(configuration_.policy.stateLeaseLimit);
   front_.take(configuration_);
   if (moved) watch_->moveTo(configuration_.discovery);
 }
@@ -149,30 +149,31 @@
 
 void Node::checkDrained() {
   if (!drained_ || loop_.now() - drainAt_ < kLinger) return;
-  if (core().owed() > 0 || engines_.smallCalls() > 0 || front_.server().busy() > 0) return;
+  if (core().pendingObligations() > 0 || engines_.auxiliaryCalls() > 0 || front_.server().busyCount() > 0)
+    return;
   if (listening_) log_("node", "info", "nothing is owed: the listener closes");
   if (!std::exchange(listening_, false)) return loop_.defer(std::exchange(drained_, nullptr));
   front_.end();
 }
 
 std::string Node::account() const {
-  const router::Counts& c = core().counts();
-  const http1::ServerCounts& clients = front_.server().counts();
+  const router::Counters& c = core().counters();
+  const http1::ServerCounters& clients = front_.server().counters();
   std::string text;
   const auto add = [&text](const char* name, std::uint64_t value) {
     text += std::string(text.empty() ? "" : " ") + name + "=" + std::to_string(value);
   };
-  add("taken", c.taken);
+  add("taken", c.accepted);
   add("served", c.served);
-  add("refused", c.refused);
+  add("refused", c.rejected);
   add("failed", c.failed);
-  add("deadline", c.deadline);
-  add("gone", c.clientsGone);
+  add("deadline", c.deadlineExceeded);
+  add("gone", c.clientsDisconnected);
   add("turned_away", front_.turnedAway());
   add("attempts", c.attempts);
-  add("guarded", c.guarded);
+  add("guarded", c.actionsBlocked);
   text += " violations=" + router::textOf(core().violations());
-  add("open", core().open());
+  add("open", core().openRequests());
   add("calls_open", engines_.open());
   const Releases::Counts& releases = engines_.releases().counts();
   add("releases_open", engines_.releases().pending());
@@ -181,12 +182,12 @@
   add("releases_given_up", releases.givenUp);
   add("release_asks", releases.asks);
   add("slowest_release_ms", static_cast<std::uint64_t>(releases.slowest.count() * 1000));
-  add("client_connections", front_.server().connections());
+  add("client_connections", front_.server().connectionCount());
   add("engine_connections", engines_.connections());
   add("engine_connections_opened", engines_.opened());
   add("accepted", clients.accepted);
   add("evicted", clients.evicted);
-  add("shut_at_bound", clients.shutAtBound);
+  add("shut_at_bound", clients.closedAtLimit);
   add("rejected", clients.rejected);
   add("timed_out", clients.timedOut);
   add("abandoned", clients.abandoned);
@@ -201,7 +202,7 @@
 
 void Node::report() {
   log_("node", "info", account());
-  reportTimer_ = loop_.after(kReport, [this] { report(); });
+  reportTimer_ = loop_.runAfter(kReport, [this] { report(); });
 }
 
 }  // namespace gannetcourse::platform
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "node/driver.h"
+#include "node/core_driver.h"
 #include "platform/configuration.h"
 #include "platform/discovery.h"
 #include "platform/engines.h"
@@ -47,7 +47,7 @@
   void takeList(const instance::Json& object, bool saved);
   void missed(const char* why);
   void becomeReady(const char* how);
-  node::Driver::Hooks driverHooks(const std::function<void(const router::Record&)>& record);
+  node::CoreDriver::Hooks driverHooks(const std::function<void(const router::Record&)>& record);
   void checkDrained();
   void report();
 
@@ -55,7 +55,7 @@
   Configuration configuration_;
   Log log_;
   net::WallClock clock_;
-  node::Driver driver_;
+  node::CoreDriver driver_;
   Engines engines_;
   Front front_;
   ListVersion version_;
--- a/src/platform/releases.cpp
+++ b/src/platform/releases.cpp
@@ -25,13 +25,13 @@
 }  // namespace
 
 Releases::Releases(net::Loop& loop, http1::Client& client, const EngineTable& engines,
-                   std::function<void(ServerId)> heardFrom)
+                   std::function<void(EngineId)> heardFrom)
     : loop_(loop), client_(client), engines_(engines), heardFrom_(std::move(heardFrom)), step_(kStep) {}
 
 Releases::~Releases() {
   *alive_ = false;
-  loop_.cancel(stepTimer_);
-  for (const auto& [id, ask] : asks_) loop_.cancel(ask.timer);
+  loop_.cancelTimer(stepTimer_);
+  for (const auto& [id, ask] : asks_) loop_.cancelTimer(ask.timer);
 }
 
 void Releases::takePinLimit(Duration limit) {
@@ -69,7 +69,7 @@
 
 void Releases::scheduleStep() {
   if (stepTimer_ != 0 || pending_.empty()) return;
-  stepTimer_ = loop_.after(step_, [this] {
+  stepTimer_ = loop_.runAfter(step_, [this] {
     stepTimer_ = 0;
     step();
   });
@@ -92,7 +92,7 @@
 
 void Releases::stepOf(const std::shared_ptr<Release>& release) {
   for (std::size_t i = 0; i < release->width && mayAskMore(); ++i) {
-    const std::optional<ServerId> engine = nextFor(*release);
+    const std::optional<EngineId> engine = nextFor(*release);
     if (!engine) {
       if (askedAll(*release)) release->asked.clear();  // once more from the first, with the next step
       break;
@@ -105,10 +105,10 @@
 // Engines that are on the list first, then those that leave no call unanswered, then those with an idle
 // connection, and of these the one that was heard from last: where many fall silent together, it is the most
 // likely to be there. One that is off the list may run on, and takes a release as well.
-std::optional<ServerId> Releases::nextFor(const Release& release) const {
-  const std::map<ServerId, Unanswered> unanswered = unansweredByEngine();
-  const std::set<ServerId> askedNow = enginesAskedFor(release);
-  std::optional<ServerId> best;
+std::optional<EngineId> Releases::nextFor(const Release& release) const {
+  const std::map<EngineId, Unanswered> unanswered = unansweredByEngine();
+  const std::set<EngineId> askedNow = enginesAskedFor(release);
+  std::optional<EngineId> best;
   std::tuple<bool, bool, bool, Instant> rank;
   for (const auto& [id, engine] : engines_) {
     const auto calls = unanswered.find(id);
@@ -116,7 +116,7 @@
     if (full || release.asked.count(id) > 0 || askedNow.count(id) > 0) continue;
     const bool silent = calls != unanswered.end() && loop_.now() - calls->second.since > kSilentAfter;
     // Only engines that were heard from keep an idle connection; a large fleet has few of them.
-    const bool idle = engine.heardAt != Instant{} && client_.hasIdle(engine.address);
+    const bool idle = engine.heardAt != Instant{} && client_.hasIdleConnection(engine.address);
     const std::tuple mine(!engine.gone, !silent, idle, engine.heardAt);
     if (best && mine <= rank) continue;
     best = id;
@@ -130,15 +130,15 @@
                      [&release](const auto& e) { return release.asked.count(e.first) > 0; });
 }
 
-std::set<ServerId> Releases::enginesAskedFor(const Release& release) const {
-  std::set<ServerId> engines;
+std::set<EngineId> Releases::enginesAskedFor(const Release& release) const {
+  std::set<EngineId> engines;
   for (const auto& [id, ask] : asks_) {
     if (ask.release.get() == &release && wouldEnd(ask)) engines.insert(ask.engine);
   }
   return engines;
 }
 
-std::set<const Releases::Release*> Releases::releasesAskedOf(ServerId engine) const {
+std::set<const Releases::Release*> Releases::releasesAskedOf(EngineId engine) const {
   std::set<const Release*> releases;
   for (const auto& [id, ask] : asks_) {
     if (ask.engine == engine && wouldEnd(ask)) releases.insert(ask.release.get());
@@ -157,8 +157,8 @@
   return std::max(kLeastShare, kMostUnanswered / std::max<std::size_t>(1, engines_.size()));
 }
 
-std::map<ServerId, Releases::Unanswered> Releases::unansweredByEngine() const {
-  std::map<ServerId, Unanswered> found;
+std::map<EngineId, Releases::Unanswered> Releases::unansweredByEngine() const {
+  std::map<EngineId, Unanswered> found;
   for (const auto& [id, ask] : asks_) {
     const auto answered = answeredAt_.find(ask.engine);
     if (answered != answeredAt_.end() && ask.sentAt <= answered->second) continue;
@@ -169,14 +169,14 @@
   return found;
 }
 
-void Releases::ask(const std::shared_ptr<Release>& release, ServerId engine) {
+void Releases::ask(const std::shared_ptr<Release>& release, EngineId engine) {
   const net::Endpoint& to = engines_.at(engine).address;
   const AskId id = ++lastAsk_;
   ++counts_.asks;
   release->asked.insert(engine);
   release->askedAt = loop_.now();
   Ask& ask = asks_[id] = Ask{release, engine, loop_.now()};
-  ask.timer = loop_.after(kAnswerWithin, [this, id] {
+  ask.timer = loop_.runAfter(kAnswerWithin, [this, id] {
     const auto late = asks_.extract(id);
     if (!late.empty()) client_.cancel(late.mapped().call);
   });
@@ -192,7 +192,7 @@
   const auto node = asks_.extract(id);
   if (node.empty()) return;
   const Ask& ask = node.mapped();
-  loop_.cancel(ask.timer);
+  loop_.cancelTimer(ask.timer);
   if (status / 100 != 2) return;
   heardFrom_(ask.engine);
   answeredAt_[ask.engine] = loop_.now();
@@ -201,7 +201,7 @@
 }
 
 // What earlier steps have asked elsewhere in vain is sent to an engine that is there.
-void Releases::askOthersAt(ServerId engine) {
+void Releases::askOthersAt(EngineId engine) {
   if (engines_.count(engine) == 0) return;
   const std::set<const Release*> askedNow = releasesAskedOf(engine);
   const std::list<std::shared_ptr<Release>> all = pending_;
--- a/src/platform/releases.h
+++ b/src/platform/releases.h
@@ -32,7 +32,7 @@
 
   // The table's engines may change between calls; `heardFrom` is told of each engine that answers.
   Releases(net::Loop& loop, http1::Client& client, const EngineTable& engines,
-           std::function<void(ServerId)> heardFrom);
+           std::function<void(EngineId)> heardFrom);
   ~Releases();
   Releases(const Releases&) = delete;
   Releases& operator=(const Releases&) = delete;
@@ -54,13 +54,13 @@
     std::string id;
     Instant begunAt, askedAt;
     Instant wantedAt;          // the newest begin(): a call that was sent before it may have come too early
-    std::set<ServerId> asked;  // in this round
+    std::set<EngineId> asked;  // in this round
     std::size_t width = 1;     // engines that the next step asks
     bool done = false;
   };
   struct Ask {
     std::shared_ptr<Release> release;
-    ServerId engine;
+    EngineId engine;
     Instant sentAt;
     http1::CallId call = 0;
     net::TimerId timer = 0;
@@ -75,32 +75,32 @@
   std::shared_ptr<Release> add(const std::string& id);
   void step();
   void stepOf(const std::shared_ptr<Release>& release);
-  void ask(const std::shared_ptr<Release>& release, ServerId engine);
+  void ask(const std::shared_ptr<Release>& release, EngineId engine);
   void answered(AskId id, int status);
-  void askOthersAt(ServerId engine);
+  void askOthersAt(EngineId engine);
   void finish(const std::shared_ptr<Release>& release, bool taken);
-  std::optional<ServerId> nextFor(const Release& release) const;
+  std::optional<EngineId> nextFor(const Release& release) const;
   bool askedAll(const Release& release) const;
   // Whether the call would end its release: it is not from before a repeat.
   static bool wouldEnd(const Ask& ask) { return ask.sentAt >= ask.release->wantedAt; }
-  std::set<ServerId> enginesAskedFor(const Release& release) const;
-  std::set<const Release*> releasesAskedOf(ServerId engine) const;
+  std::set<EngineId> enginesAskedFor(const Release& release) const;
+  std::set<const Release*> releasesAskedOf(EngineId engine) const;
   bool mayAskMore() const;
   std::size_t shareOfOne() const;
-  std::map<ServerId, Unanswered> unansweredByEngine() const;
+  std::map<EngineId, Unanswered> unansweredByEngine() const;
   void scheduleStep();
 
   net::Loop& loop_;
   http1::Client& client_;
   const EngineTable& engines_;
-  std::function<void(ServerId)> heardFrom_;
+  std::function<void(EngineId)> heardFrom_;
   Log log_;
   Duration step_;
   net::TimerId stepTimer_ = 0;
   std::list<std::shared_ptr<Release>> pending_;                     // the oldest first
   std::unordered_map<std::string, std::shared_ptr<Release>> byId_;  // the same
   std::map<AskId, Ask> asks_;                                       // that are out
-  std::map<ServerId, Instant> answeredAt_;  // when each engine last answered one, while releases are pending
+  std::map<EngineId, Instant> answeredAt_;  // when each engine last answered one, while releases are pending
   AskId lastAsk_ = 0;
   Counts counts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/platform/status_reply.h
+++ b/src/platform/status_reply.h
@@ -10,12 +10,12 @@
 
 namespace gannetcourse::platform {
 
-class StatusReply final : public http1::CallSink {
+class StatusReply final : public http1::ResponseHandler {
  public:
   explicit StatusReply(std::function<void(int status)> then) : then_(std::move(then)) {}
-  void head(const http1::ResponseHead& head) override { status_ = head.status; }
-  void body(std::string_view) override {}
-  void end(http1::End, const std::string&) override { then_(status_); }
+  void onHead(const http1::ResponseHead& head) override { status_ = head.status; }
+  void onBody(std::string_view) override {}
+  void onEnd(http1::CallResult, const std::string&) override { then_(status_); }
 
  private:
   std::function<void(int status)> then_;
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -17,7 +17,7 @@
   void takeSettings(const Settings& settings, double now) {
     quotas_.clear();
     for (const TenantSettings& tenant : settings.tenants)
-      quotas_.push_back(tenant.quotaPerSecond / settings.nodes);
+      quotas_.push_back(tenant.quotaPerSecond / settings.routerCount);
     for (std::size_t i = buckets_.size(); i < quotas_.size(); ++i)
       buckets_.push_back({depth(quotas_[i]), now});
   }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -38,23 +38,23 @@
 
  private:
   // ---- Events ----
-  void on(const ServerList& list) {
+  void on(const EngineListUpdate& list) {
     const bool first = !std::exchange(started_, true);
-    const bool saved = list.scope == ServerList::Scope::kSaved;
-    if (list.scope == ServerList::Scope::kFailed) {
-      act(SetTimer{Instant(Duration(now_ + kAskAgain * (0.5 + draw()))), kAskTimer});
+    const bool saved = list.scope == EngineListUpdate::Scope::kCached;
+    if (list.scope == EngineListUpdate::Scope::kFetchFailed) {
+      act(SetTimer{Instant(Duration(now_ + kAskAgain * (0.5 + draw()))), {kDiscoveryRetryTimer}});
     } else {
-      if (list.scope != ServerList::Scope::kChanges) {
-        for (auto& [id, s] : servers_) s.entry.state = ServerEntry::State::kGone;
+      if (list.scope != EngineListUpdate::Scope::kDelta) {
+        for (auto& [id, s] : servers_) s.entry.state = EngineEntry::State::kRemoved;
       }
-      for (const ServerEntry& entry : list.entries) learnEntry(entry);
+      for (const EngineEntry& entry : list.entries) learnEntry(entry);
       listHeard_ = listHeard_ || !saved;
     }
-    if (first && set_.askDiscovery) act(SubscribeServers{});
+    if (first && set_.subscribeToDiscovery) act(SubscribeToEngineList{});
     if (first) sweep();
   }
 
-  void learnEntry(const ServerEntry& entry) {
+  void learnEntry(const EngineEntry& entry) {
     const auto [it, added] = servers_.try_emplace(entry.id);
     Server& s = it->second;
     const bool restarted = entry.startedAt && (added || entry.startedAt != s.entry.startedAt);
@@ -76,34 +76,35 @@
     r.ask = ask;
     r.arrived = now_;
     const ClassSettings& c = classOf(r);
-    r.deadline = now_ + sec(ask.timeLeft);
-    r.aimAt = std::min(r.deadline, now_ + sec(c.aim) + sec(c.aimPerToken) * ask.promptTokens);
+    r.deadline = now_ + sec(ask.timeUntilDeadline);
+    r.aimAt =
+        std::min(r.deadline, now_ + sec(c.ttftObjective) + sec(c.ttftObjectivePerToken) * ask.promptTokens);
     r.need = ask.promptTokens + expectedOutput(r);
     r.overShare = !shares_.admit(ask, now_) || ask.isRetry;
     r.parts = {static_cast<int>(ask.classIndex)};
     if (ask.tenant) r.parts.push_back(-1 - static_cast<int>(*ask.tenant));
     learn(meanPrompt_, ask.promptTokens);
-    popularity_.add(ask.prefix, now_);
-    if (set_.probePrice > 0)
-      probes_ = std::min(kMostProbes, probes_ + kProbeBudget * (tellQueues_ ? 2 : 1) / set_.probePrice);
+    popularity_.add(ask.prefixKey, now_);
+    if (set_.probeCost > 0)
+      probes_ = std::min(kMostProbes, probes_ + kProbeBudget * (tellQueues_ ? 2 : 1) / set_.probeCost);
     if (now_ + margin() >= r.deadline) return finish(r);  // too late for anything but an answer
     enqueue(r);
   }
 
   void on(const AttemptEnded& e) {
-    learnReport(e.server, e.load);
+    learnReport(e.engine, e.load);
     const auto it = requests_.find(e.id);
     if (it == requests_.end() || !it->second.out) return;
     Request& r = it->second;
     learnOutcome(r, e);
-    if (r.stage == Stage::kStreaming && e.outcome == Outcome::kOk) learnStream(r, servers_[e.server]);
+    if (r.stage == Stage::kStreaming && e.outcome == Outcome::kOk) learnStream(r, servers_[e.engine]);
     closeAttempt(r);
-    if (e.requestOver || r.answered) {
+    if (e.requestFinished || r.answered) {
       // A state that came after the end, or one left by a failed attempt, must not stay pinned.
       if (e.outcome != Outcome::kOk) act(Release{e.id});
       requests_.erase(it);
     } else if (e.outcome == Outcome::kPrefilled) {
-      r.reader = e.server;
+      r.reader = e.engine;
       r.state.begin(now_);
       r.stage = Stage::kHolding;
       r.writerFailures = 0;
@@ -117,7 +118,7 @@
     const auto it = requests_.find(e.id);
     if (it == requests_.end() || !it->second.out || it->second.stage == Stage::kStreaming) return;
     Request& r = it->second;
-    Server& s = servers_[e.server];
+    Server& s = servers_[e.engine];
     learnFirstToken(r, s);
     learn(usual_[r.stage == Stage::kWriting], now_ - r.sentAt);
     releaseReader(r);
@@ -133,17 +134,17 @@
   }
 
   void on(const ProbeEnded& e) {
-    learnReport(e.server, e.load);
+    learnReport(e.engine, e.load);
     drainQueue();
-    Server* s = find(e.server);
+    Server* s = find(e.engine);
     // A probe that waits too long may only stand in a queue; one that cannot connect is a sign of illness.
     if (s != nullptr && e.outcome == Outcome::kConnectFailed) worsen(s->contact, 2);
   }
 
-  void on(const HoldAnswered&) {}  // places are not held ahead: the writer is picked after the read
-  void on(const TimerFired& e) { e.token == kAskTimer ? act(SubscribeServers{}) : sweep(); }
+  void on(const ReservationResult&) {}  // places are not held ahead: the writer is picked after the read
+  void on(const TimerFired& e) { e.timer.value == kDiscoveryRetryTimer ? act(SubscribeToEngineList{}) : sweep(); }
 
-  void on(const ClientGone& e) {
+  void on(const ClientDisconnected& e) {
     const auto it = requests_.find(e.id);
     if (it != requests_.end() && !it->second.answered) letGo(it->second);
   }
@@ -159,7 +160,7 @@
   void takeSettings() {
     shortestAim_ = 1e9;
     for (const ClassSettings& c : set_.classes) {
-      if (c.inService) shortestAim_ = std::min(shortestAim_, sec(c.aim));
+      if (c.inService) shortestAim_ = std::min(shortestAim_, sec(c.ttftObjective));
     }
     streamTime_.resize(set_.classes.size());
     shares_.takeSettings(set_, now_);
@@ -167,7 +168,7 @@
 
   // ---- Housekeeping ----
   void sweep() {
-    act(SetTimer{Instant(Duration(now_ + kSweep)), "sweep"});
+    act(SetTimer{Instant(Duration(now_ + kSweep)), {kHousekeepingTimer}});
     watchRequests();
     updatePools();
     updateScores();
@@ -175,7 +176,7 @@
     drainQueue();
     probeServers();
     std::erase_if(servers_, [](const auto& e) {
-      return e.second.entry.state == ServerEntry::State::kGone && e.second.idle();
+      return e.second.entry.state == EngineEntry::State::kRemoved && e.second.idle();
     });
     prefixes_.prune(now_);
     popularity_.prune(now_);
@@ -205,7 +206,7 @@
         const bool ends = (silent || r.overtaken) && late > (now_ + r.expected > r.aimAt ? patience(r) : 0);
         if (!ends || r.calledOff || !set_.cancelAllowed || !mayTryOn(r)) continue;
         r.calledOff = true;
-        act(Cancel{id, r.sends - 1});
+        act(CancelAttempt{id, r.sends - 1});
       }
     }
   }
@@ -256,7 +257,7 @@
 
   // Whether a further attempt could still be made, should this one end without an answer.
   bool mayTryOn(const Request& r) const {
-    const bool effectDone = runsEffect(r) && classOf(r).effect == Effect::kUnsafe;
+    const bool effectDone = runsEffect(r) && classOf(r).idempotency == Idempotency::kAtMostOnce;
     return !effectDone && r.sends + (r.stage == Stage::kReading ? 2 : 1) <= set_.maxAttempts;
   }
 
@@ -287,12 +288,13 @@
   }
 
   bool mayProbe() const {
-    return set_.probesAllowed && set_.reporting != Reporting::kNone && (set_.probePrice <= 0 || probes_ >= 1);
+    return set_.probesAllowed && set_.loadReportSource != LoadReportSource::kNone &&
+           (set_.probeCost <= 0 || probes_ >= 1);
   }
 
   void probe(Server& s) {
     if (!mayProbe() || !s.serving() || now_ < s.nextProbe) return;
-    if (set_.probePrice > 0) probes_ -= 1;
+    if (set_.probeCost > 0) probes_ -= 1;
     s.nextProbe = now_ + kProbeOften;
     act(Probe{s.entry.id});
   }
@@ -303,7 +305,7 @@
   using Indicators = std::array<std::optional<double>, 5>;  // the first three are counts, the others shares
   Indicators indicators(const Server& s) const {
     const LoadReport told = fresh(s) ? s.report : LoadReport{};
-    return {s.unanswered(), s.streaming, s.sending, told.memoryShare, told.busyShare};
+    return {s.unanswered(), s.streaming, s.sending, told.memoryUtilization, told.slotUtilization};
   }
 
   void updateScores() {
@@ -343,10 +345,12 @@
   }
 
   double readTime(const Server& s, double tokens) const {
-    const double weight = ownWeight(pool(s).queued), all = s.queuedTokens * (1 + (set_.nodes - 1) * weight);
+    const double weight = ownWeight(pool(s).queued),
+                 all = s.queuedTokens * (1 + (set_.routerCount - 1) * weight);
     const double mine = tokens + kReadFloorTokens;
-    if (now_ - s.reportAt < kRecent && s.report.queued) {  // it has just told what all nodes have there
-      const double told = *s.report.queued * (figure(meanFresh_, kFreshPrior) + kReadFloorTokens);
+    if (now_ - s.reportAt < kRecent &&
+        s.report.requestsQueued) {  // it has just told what all nodes have there
+      const double told = *s.report.requestsQueued * (figure(meanFresh_, kFreshPrior) + kReadFloorTokens);
       return readRate(s) * (std::max(s.queuedTokens, told) + mine);
     }
     return readRate(s) * (all + mine) + (1 - weight) * figure(s.wait, queuePrior_);
@@ -356,7 +360,7 @@
   // the more counts what we have at its peers (a Poisson count with a gamma prior round their mean).
   double ofAllNodes(double own, double mean) const {
     const double weight = ownWeight(mean);
-    return own + (set_.nodes - 1) * (weight * own + (1 - weight) * mean);
+    return own + (set_.routerCount - 1) * (weight * own + (1 - weight) * mean);
   }
   double ownWeight(double mean) const { return mean / (mean + figure(meanPrompt_, 1000)); }
 
@@ -381,15 +385,15 @@
   double filled(const Server& s) const {
     const LoadReport told = fresh(s) ? s.report : LoadReport{};
     const double all = ofAllNodes(s.heldTokens, pool(s).held) / room(s);
-    const double since = std::min(all, s.recent.get(now_, kRecent) * set_.nodes / 2 / room(s));
-    return std::max({told.memoryShare ? *told.memoryShare + since : all, s.heldTokens / room(s),
-                     told.busyShare.value_or(0)});
+    const double since = std::min(all, s.recent.get(now_, kRecent) * set_.routerCount / 2 / room(s));
+    return std::max({told.memoryUtilization ? *told.memoryUtilization + since : all, s.heldTokens / room(s),
+                     told.slotUtilization.value_or(0)});
   }
 
   // One with a queue, or that this request would fill, yields to the next.
   double writerWait(const Server& s, const Request& r) const {
     const double after = filled(s) + r.need / room(s);
-    const bool queues = fresh(s) && s.report.queued.value_or(0) >= 1;
+    const bool queues = fresh(s) && s.report.requestsQueued.value_or(0) >= 1;
     double wait = figure(s.wait, waitPrior_) * (0.5 + s.score) + ill(s, r);
     if (after > kNearlyFull || queues) wait += kYieldShare * shortestAim_;
     wait += kYieldShare * shortestAim_ * std::max(0.0, pace(s) / usualPace_ - kSlowPace);
@@ -397,8 +401,8 @@
   }
 
   double expectedOutput(const Request& r) const {
-    const double pace = sec(classOf(r).tokenAim);
-    if (r.ask.answerHint && pace > 0) return sec(*r.ask.answerHint) / pace;
+    const double pace = sec(classOf(r).interTokenObjective);
+    if (r.ask.expectedOutputDuration && pace > 0) return sec(*r.ask.expectedOutputDuration) / pace;
     return r.ask.maxOutputTokens / 3;
   }
 
@@ -408,7 +412,7 @@
   // of. That only holds while all do, so it is no learned figure.
   double credit(const Server& s, const Request& r, const Server* home) const {
     const double own =
-        std::max(keptAt(r.ask.session, s), std::min(keptAt(r.ask.prefix, s), r.ask.prefixTokens));
+        std::max(keptAt(r.ask.sessionKey, s), std::min(keptAt(r.ask.prefixKey, s), r.ask.prefixTokens));
     return std::min(r.ask.promptTokens, std::max(own, &s == home ? kHomeKeeps * r.ask.promptTokens : 0));
   }
 
@@ -431,10 +435,10 @@
   // A beginning that sessions share is kept best where all of them are read: their homes go by it, on as many
   // readers as its part of the requests asks for.
   std::uint64_t homeKey(const Request& r) const {
-    if (r.ask.prefix == 0) return r.ask.session;
-    const double part = popularity_.partOf(r.ask.prefix, now_);
+    if (r.ask.prefixKey == 0) return r.ask.sessionKey;
+    const double part = popularity_.partOf(r.ask.prefixKey, now_);
     const double homes = 1 + kHomesSpread * part * pools_[static_cast<std::size_t>(Role::kPrefill)].servers;
-    return hashOf(r.ask.prefix, static_cast<std::uint64_t>(unitOf(hashOf(r.ask.session, 2)) * homes));
+    return hashOf(r.ask.prefixKey, static_cast<std::uint64_t>(unitOf(hashOf(r.ask.sessionKey, 2)) * homes));
   }
 
   double keptAt(std::uint64_t key, const Server& s) const {
@@ -460,12 +464,14 @@
   // most that the role's servers served for us on average stands for a warm one. Back from lost contact is
   // cold, too.
   bool withinColdBudget(const Server& s, const Request& r) const {
-    const double age = std::max(0.0, now_ - s.coldSince), warm = sec(set_.coldWarmAfter);
-    if (age >= warm + sec(set_.coldWindow)) return true;
-    const double able = set_.coldStartCapacity + (1 - set_.coldStartCapacity) / 2 * std::min(1.0, age / warm);
-    const double part = set_.coldOverloadFactor * able * pool(s).most * sec(set_.coldWindow);
-    const double budget = std::max(part, std::min(1.0, kColdUnknown / set_.nodes)), weight = sendWeight(r);
-    const double span = sec(set_.coldWindow) * std::max(1.0, weight / budget);
+    const double age = std::max(0.0, now_ - s.coldSince), warm = sec(set_.slowStartDuration);
+    if (age >= warm + sec(set_.slowStartWindow)) return true;
+    const double able =
+        set_.slowStartInitialCapacity + (1 - set_.slowStartInitialCapacity) / 2 * std::min(1.0, age / warm);
+    const double part = set_.slowStartOverloadFactor * able * pool(s).most * sec(set_.slowStartWindow);
+    const double budget = std::max(part, std::min(1.0, kColdUnknown / set_.routerCount)),
+                 weight = sendWeight(r);
+    const double span = sec(set_.slowStartWindow) * std::max(1.0, weight / budget);
     if (budget < weight && now_ - s.startSeen < s.coldPhase * span) return false;
     double spent = 0;
     for (const auto& [at, sent] : s.coldSends) spent += at > now_ - span ? sent : 0;
@@ -503,18 +509,20 @@
   // even to a reader elsewhere.
   bool mayRunOn(const Request& r, const Server& s) const {
     const ClassSettings& c = classOf(r);
-    if (!r.mayHaveRun || c.effect == Effect::kSafe) return true;
+    if (!r.mayHaveRun || c.idempotency == Idempotency::kIdempotent) return true;
     const double leavesAt = now_ + sec(set_.connectTimeout) + kHoldUp;
-    if (c.effect == Effect::kUnsafe || leavesAt > r.firstRunAt + sec(c.dedupWindow)) return false;
-    if (c.group == DedupGroup::kZone) return s.entry.zone == r.ranOn.zone;
-    return c.group == DedupGroup::kAll || s.entry.cell == r.ranOn.cell;
+    if (c.idempotency == Idempotency::kAtMostOnce || leavesAt > r.firstRunAt + sec(c.dedupWindow))
+      return false;
+    if (c.dedupScope == DedupScope::kZone) return s.entry.zone == r.ranOn.zone;
+    return c.dedupScope == DedupScope::kAll || s.entry.cell == r.ranOn.cell;
   }
 
   // What is still out proves nothing yet, at a reader neither: only how it ends tells.
   bool mayRefuse(const Request& r) const {
     const ClassSettings& c = classOf(r);
     const bool ran = r.mayHaveRun || r.out;
-    return !ran || c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == DedupGroup::kAll);
+    return !ran || c.idempotency == Idempotency::kIdempotent ||
+           (c.idempotency == Idempotency::kIdempotencyKey && c.dedupScope == DedupScope::kAll);
   }
 
   static bool runsEffect(const Request& r) { return r.whole || r.stage == Stage::kWriting; }
@@ -584,7 +592,7 @@
   }
 
   bool readsWhole(const Server& s) const {
-    return s.entry.role == Role::kMixed || (s.entry.role == Role::kDecode && set_.decodeMayPrefill);
+    return s.entry.role == Role::kMixed || (s.entry.role == Role::kDecode && set_.decodeCanPrefill);
   }
 
   // The writer with least transfer time and wait. Mixed servers fetch states only when no pure writer can.
@@ -604,7 +612,7 @@
 
   // Order among equals: one shared prefix leads all nodes to the same reader; writers go by session.
   static std::uint64_t tie(const Request& r, const Server& s) {
-    return hashOf(r.ask.prefix != 0 && s.reads() ? r.ask.prefix : r.ask.session, s.entry.id.value);
+    return hashOf(r.ask.prefixKey != 0 && s.reads() ? r.ask.prefixKey : r.ask.sessionKey, s.entry.id.value);
   }
 
   // ---- A request's life ----
@@ -617,7 +625,7 @@
         return finish(r), true;
       const double room = roomOf(r) * (r.overShare ? kOverShareRoom : 1), then = plan.time + plan.onward;
       const Server& reader = *plan.server;
-      const double queued = set_.nodes * pool(reader).queued / figure(meanPrompt_, 1000);
+      const double queued = set_.routerCount * pool(reader).queued / figure(meanPrompt_, 1000);
       // The room is for queues. What a long prompt reads beyond thrice the usual adds to it, or a jam would
       // turn away just these; where readers have no queue, such a prompt may take its own aim.
       const bool none = !r.overShare && queued < kNoQueue && reader.unanswered() == 0;
@@ -638,8 +646,8 @@
   double roomOf(const Request& r) const {
     double least = r.aimAt - r.arrived;
     for (const ClassSettings& c : set_.classes) {
-      if (c.inService && c.worth > classOf(r).worth)
-        least = std::min(least, sec(c.aim) + sec(c.aimPerToken) * r.ask.promptTokens);
+      if (c.inService && c.priorityWeight > classOf(r).priorityWeight)
+        least = std::min(least, sec(c.ttftObjective) + sec(c.ttftObjectivePerToken) * r.ask.promptTokens);
     }
     return least;
   }
@@ -664,7 +672,7 @@
     r.whole = plan.whole;
     s.queuedTokens += r.readTokens;
     s.reading += 1;
-    keep(r.ask.prefix, s, r.ask.prefixTokens);  // who comes next on this server finds it read
+    keep(r.ask.prefixKey, s, r.ask.prefixTokens);  // who comes next on this server finds it read
     r.stage = Stage::kReading;
     send(r, s, plan.time + (plan.whole ? figure(s.wait, waitPrior_) : 0));
     if (plan.whole || !mayProbe()) return;
@@ -691,7 +699,7 @@
 
   // Nothing may stay pinned: a state that no writer has taken is let go well before the limit.
   bool mayHold(const Request& r) const {
-    const double limit = sec(set_.pinLimit);
+    const double limit = sec(set_.stateLeaseLimit);
     return limit <= 0 || r.state.age(now_) <= kHoldShare * limit - 2 * kSweep;
   }
 
@@ -715,12 +723,12 @@
       s.recent.set(s.recent.get(now_, kRecent) + r.need, now_);
     }
     s.coldSends.emplace_back(now_, sendWeight(r));
-    while (s.coldSends.front().first < now_ - sec(set_.coldWarmAfter)) s.coldSends.pop_front();
+    while (s.coldSends.front().first < now_ - sec(set_.slowStartDuration)) s.coldSends.pop_front();
     // Where attempts can be called off, silence ends them; the time-out only leaves room for another try.
     const double most = (r.deadline - now_) * (mayTryOn(r) ? kTryShare : 1);
     const double timeout = set_.cancelAllowed ? most : std::min(most, patience(r));
     const double kept = r.stage == Stage::kReading ? r.ask.promptTokens + kReadFloorTokens - r.readTokens : 0;
-    act(Send{r.ask.id, s.entry.id, Duration(timeout), Duration(expected), kept});
+    act(StartAttempt{r.ask.id, s.entry.id, Duration(timeout), Duration(expected), kept});
   }
 
   // Takes the attempt out of our own record.
@@ -745,10 +753,10 @@
     if (runsEffect(r) && !neverRan(e.outcome) && !r.mayHaveRun) {
       r.mayHaveRun = true;
       r.firstRunAt = r.sentAt;
-      r.ranOn = servers_[e.server].entry;
+      r.ranOn = servers_[e.engine].entry;
     }
     if (e.outcome == Outcome::kTimeout || r.calledOff) ++r.timeouts;
-    r.failedOn.push_back(e.server);
+    r.failedOn.push_back(e.engine);
     bool spent = r.mayHaveRun;  // and no server may run it again
     for (const auto& [id, s] : servers_) spent = spent && !(s.serving() && mayRunOn(r, s));
     if (spent || e.outcome == Outcome::kNotSent) return finish(r);
@@ -770,9 +778,9 @@
   void finish(Request& r) {
     if (r.answered) return;
     if (mayRefuse(r)) {
-      act(Refuse{r.ask.id, set_.retryAfterHeeded ? set_.maxRetryAfter : Duration(0)});
+      act(RejectRequest{r.ask.id, set_.clientsHonorRetryAfter ? set_.maxRetryAfter : Duration(0)});
     } else {
-      act(Fail{r.ask.id});
+      act(FailRequest{r.ask.id});
     }
     letGo(r);
   }
@@ -781,27 +789,27 @@
   void letGo(Request& r) {
     r.answered = true;
     if (!r.out) ended_.push_back(r.ask.id);
-    if (r.out && set_.cancelAllowed) act(Cancel{r.ask.id, r.sends - 1});
+    if (r.out && set_.cancelAllowed) act(CancelAttempt{r.ask.id, r.sends - 1});
     if (r.sends > 0) act(Release{r.ask.id});
   }
 
   // ---- Learning ----
-  void learnReport(ServerId id, const std::optional<LoadReport>& load) {
+  void learnReport(EngineId id, const std::optional<LoadReport>& load) {
     Server* s = find(id);
     if (s == nullptr || !load) return;
     s->report = believable(*load);
-    tellQueues_ = tellQueues_ || load->queued;
-    if (s->reads() && load->queued) learn(toldQueue_, *s->report.queued);
+    tellQueues_ = tellQueues_ || load->requestsQueued;
+    if (s->reads() && load->requestsQueued) learn(toldQueue_, *s->report.requestsQueued);
     s->reportAt = now_;
   }
 
   void learnOutcome(const Request& r, const AttemptEnded& e) {
-    Server* const s = find(e.server);
+    Server* const s = find(e.engine);
     if (s == nullptr) return;
     const bool read = e.outcome == Outcome::kPrefilled;
     if (read) {
       learn(usual_[0], sec(e.elapsed));
-      const double fresh = r.ask.promptTokens - believableKept(e.keptTokens, r.ask.promptTokens);
+      const double fresh = r.ask.promptTokens - believableKept(e.cachedTokens, r.ask.promptTokens);
       learn(meanFresh_, fresh);
       if (s->reads()) learnWait(*s, sec(e.elapsed) - readRate(*s) * (fresh + kReadFloorTokens));
       const double cost = sec(e.elapsed) / (fresh + kReadFloorTokens);
@@ -809,8 +817,8 @@
       readBase_ += (cost < readBase_ ? kBaseStep : kBaseStep / 9) * (cost - readBase_);
       learn(s->readCost, cost);
       served(*s, r);
-      keep(r.ask.session, *s, r.ask.promptTokens);
-      keep(r.ask.prefix, *s, r.ask.prefixTokens);
+      keep(r.ask.sessionKey, *s, r.ask.promptTokens);
+      keep(r.ask.prefixKey, *s, r.ask.prefixTokens);
     }
     if (read || e.outcome == Outcome::kOk) return recovered(*s, r);
     const bool silent = r.calledOff || e.outcome == Outcome::kTimeout;
@@ -925,7 +933,7 @@
   static double room(const Server& s) {
     return s.entry.memoryTokens > 0 ? s.entry.memoryTokens : kMemoryPrior;
   }
-  Server* find(ServerId id) {
+  Server* find(EngineId id) {
     const auto it = servers_.find(id);
     return it == servers_.end() ? nullptr : &it->second;
   }
@@ -939,7 +947,7 @@
   bool started_ = false, tellQueues_ = false;
   bool listHeard_ = false;  // a list that is not the saved one
   std::vector<Action>* out_ = nullptr;
-  std::map<ServerId, Server> servers_;
+  std::map<EngineId, Server> servers_;
   std::map<RequestId, Request> requests_;
   std::set<std::pair<double, RequestId>> queue_;  // requests that wait here, tightest aim first
   std::vector<RequestId> ended_;
--- a/src/policy/prefix_table.h
+++ b/src/policy/prefix_table.h
@@ -17,7 +17,7 @@
 class PrefixTable {
  public:
   // `since`: when the server's process started; what an earlier one kept is gone.
-  double keptAt(std::uint64_t key, ServerId server, double since, double now) const {
+  double keptAt(std::uint64_t key, EngineId server, double since, double now) const {
     const auto it = key == 0 ? kept_.end() : kept_.find(key);
     if (it == kept_.end()) return 0;
     for (const Kept& k : it->second) {
@@ -26,7 +26,7 @@
     return 0;
   }
 
-  void keep(std::uint64_t key, ServerId server, double tokens, double now) {
+  void keep(std::uint64_t key, EngineId server, double tokens, double now) {
     if (key == 0 || tokens <= 0) return;
     std::vector<Kept>& list = kept_[key];
     std::erase_if(list, [&](const Kept& k) { return k.server == server || k.at < now - kKeepFor; });
@@ -40,7 +40,7 @@
 
  private:
   struct Kept {
-    ServerId server;
+    EngineId server;
     double tokens, at;
   };
 
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -29,14 +29,14 @@
 };
 
 struct Server : Process {
-  ServerEntry entry;
+  EngineEntry entry;
   int reading = 0, waiting = 0, streaming = 0, sending = 0;  // our own record of work out
   double queuedTokens = 0, heldTokens = 0;                   // prompt tokens to read; states and streams
   double coldSince = -1e9, startSeen = -1e9, coldPhase = 0;  // since when it is cold, and known to us to be
   double nextProbe = 0;
   std::deque<std::pair<double, double>> coldSends;  // time and weight of the sends of a warming time
 
-  bool serving() const { return entry.state == ServerEntry::State::kServing; }
+  bool serving() const { return entry.state == EngineEntry::State::kServing; }
   bool idle() const { return reading + waiting + streaming + sending == 0; }
   bool reads() const { return entry.role == Role::kPrefill; }
   bool writes() const { return entry.role == Role::kDecode || entry.role == Role::kMixed; }
@@ -53,17 +53,17 @@
   int sends = 0, timeouts = 0, writerFailures = 0;
   bool out = false, whole = false, calledOff = false;  // an attempt is out, reads and writes, was cancelled
   bool overtaken = false;                              // ... as later ones had been answered by its server
-  ServerId server, reader;                             // of the last attempt; where the state waits
+  EngineId server, reader;                             // of the last attempt; where the state waits
   HeldState state;
   double sentAt = 0, expected = 0, streamAt = 0;
   int looks = 0;                    // readers asked for their queue
-  ServerId lookedAt;                // the last of them
+  EngineId lookedAt;                // the last of them
   double lookUntil = -1;            // and how long to wait for its answer
   double readTokens = 0, need = 0;  // to read; of a writer's memory
   bool mayHaveRun = false;          // some attempt may have had its effect; the first was sent then and there
   double firstRunAt = 0;
-  ServerEntry ranOn;
-  std::vector<ServerId> failedOn;
+  EngineEntry ranOn;
+  std::vector<EngineId> failedOn;
   std::vector<int> parts;  // of a server's health that concern it: its class (from 0) and tenant (below 0)
 };
 
--- a/src/policy/reported_figures.h
+++ b/src/policy/reported_figures.h
@@ -25,11 +25,11 @@
   const auto bound = [](std::optional<double>& figure, double most) {
     if (figure) figure = bounded(*figure, most);
   };
-  bound(load.inHand, kMostReportedCount);
-  bound(load.queued, kMostReportedCount);
-  bound(load.busyShare, kMostReportedShare);
-  bound(load.memoryShare, kMostReportedShare);
-  bound(load.waitingTokens, kMostReportedTokens);
+  bound(load.requestsInFlight, kMostReportedCount);
+  bound(load.requestsQueued, kMostReportedCount);
+  bound(load.slotUtilization, kMostReportedShare);
+  bound(load.memoryUtilization, kMostReportedShare);
+  bound(load.queuedPrefillTokens, kMostReportedTokens);
   return load;
 }
 
--- a/src/policy/tuning.h
+++ b/src/policy/tuning.h
@@ -65,7 +65,8 @@
 constexpr double kMostProbes = 4;        // probes that may be saved up
 constexpr double kHoldUp = 0.15;         // between a decision and its write a machine may be held up for this
 constexpr double kStartToldWithin = 12;  // a start told as a change that is older than this is not believed
-constexpr char kAskTimer[] = "ask";
+constexpr char kDiscoveryRetryTimer[] = "ask";
+constexpr char kHousekeepingTimer[] = "sweep";
 constexpr double kAskAgain = 0.7;  // pause after a failed discovery call
 
 }  // namespace gannetcourse
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -22,21 +22,21 @@
 
 Recovery::Recovery(Limits limits) : limits_(std::move(limits)), budget_(limits_.rebuildBurst) {}
 
-void Recovery::takeClasses(std::vector<Effect> effects, std::vector<double> worths, int maxAttempts) {
-  limits_.effects = std::move(effects);
-  limits_.worths = std::move(worths);
+void Recovery::updateClasses(std::vector<Idempotency> effects, std::vector<double> worths, int maxAttempts) {
+  limits_.idempotency = std::move(effects);
+  limits_.priorityWeights = std::move(worths);
   limits_.maxAttempts = maxAttempts;
 }
 
-bool Recovery::continues(std::size_t classIndex) const {
-  return limits_.enabled && classIndex < limits_.effects.size() &&
-         limits_.effects[classIndex] == Effect::kSafe;
+bool Recovery::isResumable(std::size_t classIndex) const {
+  return limits_.enabled && classIndex < limits_.idempotency.size() &&
+         limits_.idempotency[classIndex] == Idempotency::kIdempotent;
 }
 
 // ---- Streams that run ----
-void Recovery::started(Instant now, StreamKey stream, const Stream& what) {
+void Recovery::onStreamStarted(Instant now, StreamKey stream, const Stream& what) {
   Running& r = running_[stream];  // a continuation keeps what it has
-  const bool resumable = r.resumable && continues(what.classIndex);
+  const bool resumable = r.resumable && isResumable(what.classIndex);
   const std::uint64_t kept = r.kept;
   r = {};
   r.what = what;
@@ -49,7 +49,7 @@
 // The pace counts gaps of streams whose client reads; a long gap counts as the limit, or one hang would slow
 // it.
 void Recovery::notePace(Instant now, Running& r) {
-  const Duration gap = std::clamp(now - r.lastToken, kLeastGap, limits_.silenceAtLeast);
+  const Duration gap = std::clamp(now - r.lastToken, kLeastGap, limits_.minSilence);
   Duration& usual = paceOf(r.what.classIndex);
   usual += (gap - usual) * kPaceStep;
   r.gap = r.tokens > 1 ? r.gap + (gap - r.gap) * kStreamStep : gap;
@@ -58,7 +58,7 @@
   r.slow = slow;
 }
 
-bool Recovery::token(Instant now, StreamKey stream, std::size_t bytes) {
+bool Recovery::onToken(Instant now, StreamKey stream, std::size_t bytes) {
   const auto it = running_.find(stream);
   if (it == running_.end()) return false;
   Running& r = it->second;
@@ -68,21 +68,21 @@
   heard_ = now;
   if (!r.resumable) return false;
   r.kept += bytes;
-  keptBytes_ += bytes;
-  if (r.kept <= limits_.keptPerStream && keptBytes_ <= limits_.keptPerNode) return true;
+  bufferedBytes_ += bytes;
+  if (r.kept <= limits_.maxBufferedBytesPerStream && bufferedBytes_ <= limits_.maxBufferedBytes) return true;
   r.resumable = false;
-  keptBytes_ -= std::exchange(r.kept, 0);
+  bufferedBytes_ -= std::exchange(r.kept, 0);
   return false;
 }
 
-void Recovery::paused(Instant now, StreamKey stream, bool paused) {
+void Recovery::onClientPaused(Instant now, StreamKey stream, bool paused) {
   const auto it = running_.find(stream);
   if (it == running_.end()) return;
   it->second.paused = paused;
   it->second.lastToken = now;  // what was held back comes first
 }
 
-void Recovery::leaving(ServerId engine, std::optional<Instant> by) {
+void Recovery::onEngineShutdownNotice(EngineId engine, std::optional<Instant> by) {
   if (by) {
     leaving_[engine] = *by;
   } else {
@@ -90,7 +90,9 @@
   }
 }
 
-void Recovery::goesAway(Instant now, ServerId engine) { leaving(engine, now + limits_.engineGrace); }
+void Recovery::onGoAway(Instant now, EngineId engine) {
+  onEngineShutdownNotice(engine, now + limits_.goAwayGrace);
+}
 
 Duration& Recovery::paceOf(std::size_t classIndex) {
   if (paces_.size() <= classIndex) paces_.resize(classIndex + 1, kFirstPace);
@@ -105,46 +107,47 @@
 bool Recovery::eligible(Instant now, StreamKey key, const Running& r) const {
   if (r.paused || r.lost || r.tokens == 0) return false;
   std::string why;
-  return mayGoOn({key, r.what.classIndex, 0, r.what.end - now, r.what.moves, r.what.attempts, Ending::kTold},
+  return mayGoOn({key, r.what.classIndex, 0, r.what.deadline - now, r.what.continuations, r.what.attempts,
+                  AttemptEnd::kConfirmed},
                  why);
 }
 
 // Late if it stays, in time if it moves: else a move gains nothing.
 bool Recovery::wouldBeLate(Instant now, const Running& r) const {
-  const double left = r.what.tokensLeft - static_cast<double>(r.tokens);
-  return now + r.gap * left > r.what.end &&
-         now + limits_.leastTimeLeft + pace(r.what.classIndex) * left < r.what.end;
+  const double left = r.what.remainingTokens - static_cast<double>(r.tokens);
+  return now + r.gap * left > r.what.deadline &&
+         now + limits_.minTimeLeft + pace(r.what.classIndex) * left < r.what.deadline;
 }
 
 const char* Recovery::reasonToMove(Instant now, const Running& r) const {
   const Duration usual = pace(r.what.classIndex);
-  const Duration patience = std::max(limits_.silenceAtLeast, usual * limits_.silenceFactor);
+  const Duration patience = std::max(limits_.minSilence, usual * limits_.silenceFactor);
   // Where no stream shows a sign of life, the node or the net stands still, not a writer.
   if (now - r.lastToken > patience && heard_ > r.lastToken + patience / 2) return kSilent;
   const auto leaves = leaving_.find(r.what.engine);
-  const double left = r.what.tokensLeft - static_cast<double>(r.tokens);
+  const double left = r.what.remainingTokens - static_cast<double>(r.tokens);
   if (leaves != leaving_.end() && now + usual * left > leaves->second) return kLeaves;
-  if (r.slow && now - r.slowSince > limits_.slowFor && wouldBeLate(now, r)) return kSlow;
+  if (r.slow && now - r.slowSince > limits_.slowDuration && wouldBeLate(now, r)) return kSlow;
   return nullptr;
 }
 
 // How many streams leave each engine at this look, so that all are away in time and not all at once.
-std::map<ServerId, std::size_t> Recovery::waveSizes(Instant now, const std::vector<Candidate>& all) const {
-  std::map<ServerId, std::size_t> sizes;
+std::map<EngineId, std::size_t> Recovery::waveSizes(Instant now, const std::vector<Candidate>& all) const {
+  std::map<EngineId, std::size_t> sizes;
   for (const Candidate& c : all) {
     if (c.leaves) ++sizes[*c.leaves];
   }
   for (auto& [engine, size] : sizes) {
-    const Duration left = leaving_.at(engine) - limits_.moveEarly - now;
+    const Duration left = leaving_.at(engine) - limits_.migrationLeadTime - now;
     const double looks = std::max(1.0, left / kLook);
     size = static_cast<std::size_t>(std::ceil(static_cast<double>(size) / looks));
   }
   return sizes;
 }
 
-std::vector<Recovery::Move> Recovery::moves(Instant now) {
+std::vector<Recovery::Migration> Recovery::streamsToMigrate(Instant now) {
   lastLook_ = now;
-  std::vector<Move> found;
+  std::vector<Migration> found;
   std::vector<Candidate> all;
   if (!limits_.enabled) return found;
   std::erase_if(leaving_, [now](const auto& engine) { return engine.second < now; });
@@ -159,7 +162,7 @@
   std::sort(all.begin(), all.end(), [](const Candidate& a, const Candidate& b) {
     return a.worth != b.worth ? a.worth > b.worth : a.move.stream < b.move.stream;
   });
-  std::map<ServerId, std::size_t> waves = waveSizes(now, all);
+  std::map<EngineId, std::size_t> waves = waveSizes(now, all);
   for (const Candidate& c : all) {
     if (budget_ < c.tokens || (c.leaves && waves[*c.leaves] == 0)) continue;
     if (c.leaves) --waves[*c.leaves];
@@ -172,22 +175,22 @@
 
 // ---- Streams that are lost ----
 double Recovery::worth(std::size_t classIndex) const {
-  return classIndex < limits_.worths.size() ? limits_.worths[classIndex] : 1;
+  return classIndex < limits_.priorityWeights.size() ? limits_.priorityWeights[classIndex] : 1;
 }
 
-bool Recovery::mayGoOn(const Lost& stream, std::string& why) const {
+bool Recovery::mayGoOn(const LostStream& stream, std::string& why) const {
   const auto running = running_.find(stream.stream);
   if (!limits_.enabled) {
     why = "recovery is off";
-  } else if (!continues(stream.classIndex)) {
+  } else if (!isResumable(stream.classIndex)) {
     why = "its effect may have happened";  // rule 2: it is not asked for again
   } else if (running == running_.end() || !running->second.resumable) {
     why = "its text was not kept";
-  } else if (stream.moves >= limits_.maxMoves) {
+  } else if (stream.continuations >= limits_.maxContinuations) {
     why = "moved too often";
   } else if (stream.attempts + 2 > limits_.maxAttempts) {
     why = "no attempts left";
-  } else if (stream.timeLeft < limits_.leastTimeLeft) {
+  } else if (stream.timeUntilDeadline < limits_.minTimeLeft) {
     why = "no time left";
   } else {
     return true;
@@ -200,61 +203,62 @@
                      [now](const auto& w) { return !w.second.hasTurn && w.second.knownAt <= now; });
 }
 
-Decision Recovery::lost(Instant now, const Lost& stream) {
+Decision Recovery::onStreamLost(Instant now, const LostStream& stream) {
   Decision decision;
-  if (!mayGoOn(stream, decision.why)) return decision;
+  if (!mayGoOn(stream, decision.reason)) return decision;
   Running& r = running_.at(stream.stream);
   r.lost = true;
-  const bool known = stream.ending == Ending::kTold;
+  const bool known = stream.attemptEnd == AttemptEnd::kConfirmed;
   bool hasTurn = std::exchange(r.hasTurn, false);
   // No storm: what continuations read is a share of what new requests read, plus a burst. Who waits, waits
   // briefly.
-  if (known && !hasTurn && budget_ >= stream.tokens && !someoneWaitsForATurn(now)) {
-    budget_ -= stream.tokens;
+  if (known && !hasTurn && budget_ >= stream.tokensToPrefill && !someoneWaitsForATurn(now)) {
+    budget_ -= stream.tokensToPrefill;
     hasTurn = true;
   }
-  if (known && hasTurn) return {Verdict::kGoOn, "goes on from another writer"};
-  waiting_[stream.stream] = {stream, now, known ? now : now + limits_.lease, now + limits_.fenceAgain,
-                             hasTurn};
-  if (known) return {Verdict::kWait, "waits for its turn"};
-  return {Verdict::kFence, "waits until its last attempt is known to have ended"};
+  if (known && hasTurn) return {Disposition::kContinue, "goes on from another writer"};
+  waiting_[stream.stream] = {stream, now, known ? now : now + limits_.engineLease,
+                             now + limits_.fenceRetryInterval, hasTurn};
+  if (known) return {Disposition::kWait, "waits for its turn"};
+  return {Disposition::kFenceFirst, "waits until its last attempt is known to have ended"};
 }
 
-Verdict Recovery::fenced(Instant now, StreamKey stream) {
+Disposition Recovery::onAttemptFenced(Instant now, StreamKey stream) {
   const auto it = waiting_.find(stream);
-  if (it == waiting_.end()) return Verdict::kWait;
+  if (it == waiting_.end()) return Disposition::kWait;
   Waiting& w = it->second;
-  const bool mayHaveTurn = w.hasTurn || (budget_ >= w.lost.tokens && !someoneWaitsForATurn(now));
+  const bool mayHaveTurn = w.hasTurn || (budget_ >= w.lost.tokensToPrefill && !someoneWaitsForATurn(now));
   w.knownAt = std::min(w.knownAt, now);
-  if (!mayHaveTurn || w.lost.timeLeft - (now - w.since) < limits_.leastTimeLeft) return Verdict::kWait;
-  if (!w.hasTurn) budget_ -= w.lost.tokens;
+  if (!mayHaveTurn || w.lost.timeUntilDeadline - (now - w.since) < limits_.minTimeLeft)
+    return Disposition::kWait;
+  if (!w.hasTurn) budget_ -= w.lost.tokensToPrefill;
   waiting_.erase(it);
-  return Verdict::kGoOn;
+  return Disposition::kContinue;
 }
 
-Recovery::Turns Recovery::turns(Instant now) {
+Recovery::DueStreams Recovery::takeDueStreams(Instant now) {
   std::vector<Waiting*> order;
   for (auto& [key, waiting] : waiting_) order.push_back(&waiting);
   std::stable_sort(order.begin(), order.end(), [this](const Waiting* a, const Waiting* b) {
     return worth(a->lost.classIndex) > worth(b->lost.classIndex);
   });
-  Turns turns;
+  DueStreams turns;
   for (Waiting* const w : order) {
     const bool known = now >= w->knownAt;
-    const bool tooLong = known && !w->hasTurn && now - w->knownAt > limits_.mostWait;
-    if (tooLong || w->lost.timeLeft - (now - w->since) < limits_.leastTimeLeft) {
-      turns.giveUp.push_back(w->lost.stream);
+    const bool tooLong = known && !w->hasTurn && now - w->knownAt > limits_.maxWait;
+    if (tooLong || w->lost.timeUntilDeadline - (now - w->since) < limits_.minTimeLeft) {
+      turns.toGiveUp.push_back(w->lost.stream);
     } else if (!known) {
       if (now < w->askAt) continue;
-      w->askAt = now + limits_.fenceAgain;
-      turns.fence.push_back(w->lost.stream);
-    } else if (w->hasTurn || budget_ >= w->lost.tokens) {
-      if (!w->hasTurn) budget_ -= w->lost.tokens;
-      turns.goOn.push_back(w->lost.stream);
+      w->askAt = now + limits_.fenceRetryInterval;
+      turns.toFence.push_back(w->lost.stream);
+    } else if (w->hasTurn || budget_ >= w->lost.tokensToPrefill) {
+      if (!w->hasTurn) budget_ -= w->lost.tokensToPrefill;
+      turns.toContinue.push_back(w->lost.stream);
     }
   }
-  for (const StreamKey key : turns.goOn) waiting_.erase(key);
-  for (const StreamKey key : turns.giveUp) waiting_.erase(key);
+  for (const StreamKey key : turns.toContinue) waiting_.erase(key);
+  for (const StreamKey key : turns.toGiveUp) waiting_.erase(key);
   return turns;
 }
 
@@ -262,15 +266,15 @@
   waiting_.erase(stream);
   const auto it = running_.find(stream);
   if (it == running_.end()) return;
-  keptBytes_ -= it->second.kept;
+  bufferedBytes_ -= it->second.kept;
   running_.erase(it);
 }
 
-void Recovery::readTokens(double tokens) {
+void Recovery::onPrefillStarted(double tokens) {
   budget_ = std::min(limits_.rebuildBurst, budget_ + tokens * limits_.rebuildShare);
 }
 
-std::optional<Instant> Recovery::nextLook() const {
+std::optional<Instant> Recovery::nextCheck() const {
   if (running_.empty() && waiting_.empty()) return std::nullopt;
   return lastLook_ + kLook;
 }
--- a/src/router/core.cpp
+++ b/src/router/core.cpp
@@ -28,39 +28,39 @@
       : policy_(settings),
         guard_(settings),
         recovery_(limitsOf(settings, options.recovery)),
-        lateStates_(settings.pinLimit),
+        lateStates_(settings.stateLeaseLimit),
         settings_(settings),
         options_(std::move(options)) {}
 
   void reconfigure(const Settings& settings) {
     checkPlaces(settings_, settings);
     const recovery::Limits limits = limitsOf(settings, {});
-    recovery_.takeClasses(limits.effects, limits.worths, limits.maxAttempts);
+    recovery_.updateClasses(limits.idempotency, limits.priorityWeights, limits.maxAttempts);
     settings_ = settings;
     guard_.takeSettings(settings);
-    lateStates_.takeLimit(settings.pinLimit);
+    lateStates_.takeLimit(settings.stateLeaseLimit);
     out_.emplace_back(Record{now_, {}, "reconfigured", {}, -1, {}});
     feed(SettingsChanged{settings});
   }
 
   // ---- From the clients' side ----
-  void arrived(Arrival a) {
-    ++counts_.taken;
+  void arrived(NewRequest a) {
+    ++counts_.accepted;
     Request& r = requests_[a.key];
     r.key = a.key;
-    r.name = r.id = r.policyId = options_.node + "-" + std::to_string(++lastName_);
-    r.work = a.work;
-    r.end = now_ + a.timeLeft;
+    r.name = r.id = r.policyId = options_.nodeName + "-" + std::to_string(++lastName_);
+    r.work = a.payload;
+    r.end = now_ + a.timeUntilDeadline;
     if (!a.id.empty()) r.id = a.id;
     r.asked = std::move(a);
     names_.emplace(r.policyId, r.key);
     guard_.taken(r.key, r.asked.classIndex);
-    if (options_.records)
+    if (options_.recordsEnabled)
       record(r, "taken", {}, -1, askedFor(settings_.classes.at(r.asked.classIndex), *r.work));
-    if (draining_) return answer(r, Verdict::kRefused, Duration(0), "node is draining");
+    if (draining_) return answer(r, FinalStatus::kRejected, Duration(0), "node is draining");
     r.timer =
-        timers_.emplace(r.end - options_.answerMargin * kBackstopShare, Timer{Due::kRequest, r.key, {}});
-    if (r.asked.resumed) return resume(r, *r.asked.resumed);
+        timers_.emplace(r.end - options_.responseMargin * kBackstopShare, Timer{Due::kRequest, r.key, {}});
+    if (r.asked.resumedStream) return resume(r, *r.asked.resumedStream);
     ids_.emplace(r.id, r.key);
     tellPolicy(r);
   }
@@ -69,14 +69,14 @@
     const auto it = requests_.find(key);
     if (it == requests_.end() || it->second.answered) return;
     Request& r = it->second;
-    ++counts_.clientsGone;
+    ++counts_.clientsDisconnected;
     r.answered = true;
     touch(r);
     record(r, "client_gone");
     const RequestId id{r.policyId};
     const std::optional<AttemptEnded> ended = endCall(r, Outcome::kCancelled, "client gone");
     if (ended) feed(*ended);
-    feed(ClientGone{id});
+    feed(ClientDisconnected{id});
   }
 
   // ---- From the engines' side ----
@@ -90,19 +90,19 @@
     r.state = std::move(state);
     r.stateAttempt = call.attempt;
     guard_.stateHeld(now_, r.key);
-    if (options_.records) record(r, "prefilled", call.engine, call.attempt, "kept " + textOf(kept, 0));
-    callEnded(key, Outcome::kPrefilled, kept, load, {}, recovery::Ending::kTold);
+    if (options_.recordsEnabled) record(r, "prefilled", call.engine, call.attempt, "kept " + textOf(kept, 0));
+    callEnded(key, Outcome::kPrefilled, kept, load, {}, recovery::AttemptEnd::kConfirmed);
   }
 
   void token(CallKey key, std::uint32_t index, std::string text) {
     const auto it = calls_.find(key);
-    if (it == calls_.end()) ++counts_.lateTokens;
+    if (it == calls_.end()) ++counts_.droppedTokens;
     if (it == calls_.end() || it->second.reads) return;
     Call& call = it->second;
     Request& r = *call.owner;
     if (r.answered) return;
     if (index < r.nextIndex) {
-      ++counts_.lateTokens;
+      ++counts_.droppedTokens;
       return;
     }
     if (index > r.nextIndex) return takeAway(r, Outcome::kError, "token out of order");
@@ -118,14 +118,14 @@
     }
     if (first) streamStarted(r, call);
     keepText(r, text);
-    out_.emplace_back(Deliver{r.key, index, std::move(text)});
+    out_.emplace_back(SendToken{r.key, index, std::move(text)});
     if (first)
       feed(StreamStarted{RequestId{r.policyId}, call.attempt - r.firstNumber, call.engine,
                          now_ - call.sentAt});
   }
 
   void callEnded(CallKey key, Outcome outcome, double kept, const std::optional<LoadReport>& load,
-                 const std::string& why, recovery::Ending ending) {
+                 const std::string& why, recovery::AttemptEnd ending) {
     const auto it = calls_.find(key);
     if (it == calls_.end()) return;
     const Call call = dropCall(it, outcome);
@@ -134,17 +134,17 @@
     if (outcome == Outcome::kStateLost) guard_.stateTaken(r.key);
     if (call.reads) lateStates_.readEnded(now_, {r.id, call.attempt, call.engine}, outcome, ending);
     AttemptEnded ended = endOf(r, call, outcome, now_);
-    ended.keptTokens = kept;
+    ended.cachedTokens = kept;
     ended.load = load;
     if (!r.answered && outcome == Outcome::kOk) {
       record(r, "stream_whole", call.engine, call.attempt, why);
-      answer(r, Verdict::kServed, Duration(0), {});
+      answer(r, FinalStatus::kServed, Duration(0), {});
     } else if (!r.answered && r.started) {
       return streamLost(r, ended, why, ending);
     } else if (outcome != Outcome::kOk && outcome != Outcome::kPrefilled) {
       record(r, "attempt_ended", call.engine, call.attempt, why);
     }
-    ended.requestOver = r.answered;
+    ended.requestFinished = r.answered;
     feed(ended);
   }
 
@@ -152,19 +152,19 @@
     const auto it = requests_.find(key);
     if (it == requests_.end() || !it->second.waits || it->second.number - 1 != attempt) return;
     record(it->second, "fenced", {}, attempt);
-    if (recovery_.fenced(now_, key) == recovery::Verdict::kGoOn) goOn(it->second);
+    if (recovery_.onAttemptFenced(now_, key) == recovery::Disposition::kContinue) goOn(it->second);
   }
 
-  void leaving(ServerId engine, std::optional<Instant> by) { recovery_.leaving(engine, by); }
-  void goesAway(ServerId engine) { recovery_.goesAway(now_, engine); }
+  void leaving(EngineId engine, std::optional<Instant> by) { recovery_.onEngineShutdownNotice(engine, by); }
+  void goesAway(EngineId engine) { recovery_.onGoAway(now_, engine); }
 
-  void paused(RequestKey key, bool paused) { recovery_.paused(now_, key, paused); }
+  void paused(RequestKey key, bool paused) { recovery_.onClientPaused(now_, key, paused); }
 
-  void seatAnswered(RequestKey key, ServerId engine, bool held) {
+  void seatAnswered(RequestKey key, EngineId engine, bool held) {
     const auto it = requests_.find(key);
     if (it == requests_.end()) return;
     if (!held && it->second.seatAt == engine) it->second.seatAt.reset();
-    feed(HoldAnswered{RequestId{it->second.policyId}, engine, held});
+    feed(ReservationResult{RequestId{it->second.policyId}, engine, held});
   }
 
   void drain() {
@@ -189,9 +189,9 @@
     }
   }
 
-  void takeList(const ServerList& list) {
+  void takeList(const EngineListUpdate& list) {
     guard_.takeList(list);
-    for (const ServerId removed : roles_.take(list)) recovery_.leaving(removed, {});
+    for (const EngineId removed : roles_.take(list)) recovery_.onEngineShutdownNotice(removed, {});
   }
 
   // Feeds an event and all that follows from it.
@@ -223,7 +223,7 @@
       stop(it->second.timer);
       requests_.erase(it);
     }
-    const std::optional<Instant> look = recovery_.nextLook();
+    const std::optional<Instant> look = recovery_.nextCheck();
     if (look && !std::exchange(lookDue_, true))
       timers_.emplace(std::max(*look, now_ + Duration(0.001)), Timer{Due::kLook, 0, {}});
     settleLateStates();
@@ -235,7 +235,7 @@
   Timers timers_;
   std::vector<Command> out_;
   std::unordered_map<RequestKey, Request> requests_;
-  Counts counts_;
+  Counters counts_;
   bool draining_ = false;
 
   const ViolationCounts& violations() const { return guard_.violations(); }
@@ -246,17 +246,17 @@
 
  private:
   // ---- The policy's actions ----
-  void act(Send& a) {
+  void act(StartAttempt& a) {
     Request* r = named(a.id);
     const int attempt = r == nullptr ? 0 : r->number - r->firstNumber;
-    const std::optional<Role> role = roles_.of(a.server);
-    const auto rule = r == nullptr ? std::nullopt : guard_.checkSend(now_, r->key, a.server);
-    if (rule) recordViolation(*r, rule, a.server, attempt);
+    const std::optional<Role> role = roles_.of(a.engine);
+    const auto rule = r == nullptr ? std::nullopt : guard_.checkSend(now_, r->key, a.engine);
+    if (rule) recordViolation(*r, rule, a.engine, attempt);
     if (r == nullptr || rule || r->answered || r->attempts >= settings_.maxAttempts || now_ >= r->end ||
         !role) {
-      ++counts_.guarded;
+      ++counts_.actionsBlocked;
       events_.emplace_back(AttemptEnded{
-          a.id, attempt, a.server, Outcome::kNotSent, r == nullptr || r->answered, 0, Duration(0), {}});
+          a.id, attempt, a.engine, Outcome::kNotSent, r == nullptr || r->answered, 0, Duration(0), {}});
       return;
     }
     const bool reads = *role == Role::kPrefill;
@@ -264,29 +264,30 @@
     ++counts_.attempts;
     const CallKey key = r->out = ++lastCall_;
     const int number = r->number++;  // over all continuations: engines know the newest by it
-    if (reads && r->moves == 0) recovery_.readTokens(r->work->promptTokens);
-    const Duration left = r->end - now_ - options_.answerMargin;
+    if (reads && r->moves == 0) recovery_.onPrefillStarted(r->work->promptTokens);
+    const Duration left = r->end - now_ - options_.responseMargin;
     const Duration timeout = a.timeout.count() > 0 ? std::min(a.timeout, left) : left;
     const TimerAt timer = timers_.emplace(now_ + timeout, Timer{Due::kAttempt, key, {}});
-    calls_.emplace(key, Call{r, number, a.server, reads, now_, timer});
-    guard_.sent(now_, r->key, a.server, reads);
+    calls_.emplace(key, Call{r, number, a.engine, reads, now_, timer});
+    guard_.sent(now_, r->key, a.engine, reads);
     if (reads) {
-      out_.emplace_back(StartRead{key, r->key, r->id, number, a.server, left, timeout, r->work});
+      out_.emplace_back(StartPrefill{key, r->key, r->id, number, a.engine, left, timeout, r->work});
     } else {
-      if (r->seatAt && *r->seatAt != a.server) letGoSeat(*r);
-      out_.emplace_back(StartWrite{key, r->key, r->id, number, a.server, r->stateAt,
-                                   r->stateAt ? r->state : "", left, timeout, r->work});
+      if (r->seatAt && *r->seatAt != a.engine) letGoSeat(*r);
+      out_.emplace_back(StartDecode{key, r->key, r->id, number, a.engine, r->stateAt,
+                                    r->stateAt ? r->state : "", left, timeout, r->work});
     }
-    if (options_.records) record(*r, reads ? "read" : "write", a.server, number, expectationOf(a, reads));
+    if (options_.recordsEnabled)
+      record(*r, reads ? "read" : "write", a.engine, number, expectationOf(a, reads));
   }
 
   void act(Reserve& a) {
     Request* r = named(a.id);
     if (r == nullptr || r->answered) return;
     if (r->seatAt) letGoSeat(*r);
-    r->seatAt = a.server;
-    out_.emplace_back(ReserveSeat{r->key, r->id, r->number, a.server, r->work->promptTokens});
-    record(*r, "reserve", a.server);
+    r->seatAt = a.engine;
+    out_.emplace_back(ReserveCapacity{r->key, r->id, r->number, a.engine, r->work->promptTokens});
+    record(*r, "reserve", a.engine);
   }
 
   void act(Release& a) {
@@ -300,26 +301,26 @@
     touch(*r);
   }
 
-  void act(Refuse& a) {
+  void act(RejectRequest& a) {
     Request* r = named(a.id);
     if (r == nullptr || r->answered) return;
     // Part of its answer has been sent: that is no refusal any more.
     if (r->moves > 0)
-      return answer(*r, Verdict::kFailed, Duration(0), "no engine for its continuation in time");
+      return answer(*r, FinalStatus::kFailed, Duration(0), "no engine for its continuation in time");
     if (const auto rule = guard_.checkRefusal(r->key)) {
       recordViolation(*r, rule);
-      return answer(*r, Verdict::kFailed, Duration(0), "failed");
+      return answer(*r, FinalStatus::kFailed, Duration(0), "failed");
     }
-    answer(*r, Verdict::kRefused, a.retryAfter, "refused; safe to try again");
+    answer(*r, FinalStatus::kRejected, a.retryAfter, "refused; safe to try again");
   }
 
-  void act(Fail& a) {
+  void act(FailRequest& a) {
     Request* r = named(a.id);
     if (r != nullptr && !r->answered)
-      answer(*r, Verdict::kFailed, Duration(0), r->moves > 0 ? "its continuation failed" : "failed");
+      answer(*r, FinalStatus::kFailed, Duration(0), r->moves > 0 ? "its continuation failed" : "failed");
   }
 
-  void act(Cancel& a) {
+  void act(CancelAttempt& a) {
     Request* r = named(a.id);
     const auto it = r == nullptr ? calls_.end() : calls_.find(r->out);
     if (it == calls_.end() || it->second.attempt - r->firstNumber != a.attempt || r->started) return;
@@ -327,50 +328,51 @@
     if (ended) events_.emplace_back(*ended);
   }
 
-  void act(Probe& a) { out_.emplace_back(ProbeEngine{a.server}); }
-  void act(SubscribeServers&) { out_.emplace_back(Subscribe{}); }
-  void act(FetchServers&) { out_.emplace_back(Fetch{}); }
-  void act(SetTimer& a) { timers_.emplace(a.at, Timer{Due::kPolicy, 0, a.token}); }
+  void act(Probe& a) { out_.emplace_back(ProbeEngine{a.engine}); }
+  void act(SubscribeToEngineList&) { out_.emplace_back(Subscribe{}); }
+  void act(FetchEngineList&) { out_.emplace_back(Fetch{}); }
+  void act(SetTimer& a) { timers_.emplace(a.at, Timer{Due::kPolicy, 0, a.timer.value}); }
   void act(Log& a) { out_.emplace_back(Record{now_, {}, "note", {}, -1, a.text}); }
 
   // ---- Continuations ----
   void tellPolicy(const Request& r) {
-    const Duration whole = r.end - now_ - options_.answerMargin;
-    const Duration first = r.asked.firstTokenWithin;
+    const Duration whole = r.end - now_ - options_.responseMargin;
+    const Duration first = r.asked.firstTokenTimeout;
     RequestArrived event;
     event.id = RequestId{r.policyId};
     event.classIndex = r.asked.classIndex;
     event.tenant = r.asked.tenant;
     event.isRetry = r.asked.isRetry && r.moves == 0;  // the rest of an answer is no further try
-    event.timeLeft = first.count() > 0 ? std::min(whole, first) : whole;
-    event.session = r.asked.session;
-    event.prefix = r.asked.prefix;
+    event.timeUntilDeadline = first.count() > 0 ? std::min(whole, first) : whole;
+    event.sessionKey = r.asked.sessionKey;
+    event.prefixKey = r.asked.prefixKey;
     event.prefixTokens = r.work->prefixTokens;
     event.promptTokens = r.work->promptTokens;
     event.maxOutputTokens = r.work->maxOutputTokens;
-    event.answerHint = r.asked.answerHint;
+    event.expectedOutputDuration = r.asked.expectedOutputDuration;
     feed(std::move(event));
   }
 
   void streamStarted(Request& r, Call& call) {
     stop(call.timer);  // the stream belongs to the client now
-    if (r.asked.untilFirstToken) stop(r.timer);
-    const ServerId engine = call.engine;
-    if (recovery_.continues(r.asked.classIndex)) {
+    if (r.asked.deadlineEndsAtFirstToken) stop(r.timer);
+    const EngineId engine = call.engine;
+    if (recovery_.isResumable(r.asked.classIndex)) {
       r.sent.reserve(kUsualText);
-      out_.emplace_back(ResumeFrom{r.key, r.id, call.attempt, engine});
+      out_.emplace_back(ResumePoint{r.key, r.id, call.attempt, engine});
     } else {
       r.keepsText = false;
     }
     const std::uint32_t most = r.work->maxOutputTokens, sent = r.nextIndex - 1;
-    recovery_.started(now_, r.key,
-                      {r.asked.classIndex, engine, static_cast<double>(r.asked.work->promptTokens + sent),
-                       static_cast<double>(most > sent ? most - sent : 0), r.end - options_.answerMargin,
-                       r.moves, r.attempts});
+    recovery_.onStreamStarted(
+        now_, r.key,
+        {r.asked.classIndex, engine, static_cast<double>(r.asked.payload->promptTokens + sent),
+         static_cast<double>(most > sent ? most - sent : 0), r.end - options_.responseMargin, r.moves,
+         r.attempts});
   }
 
   void keepText(Request& r, const std::string& text) {
-    const bool kept = recovery_.token(now_, r.key, text.size());
+    const bool kept = recovery_.onToken(now_, r.key, text.size());
     if (kept && r.keepsText) {
       r.sent += text;
     } else if (std::exchange(r.keepsText, false)) {
@@ -381,22 +383,22 @@
 
   // A stream ended before its answer was whole. For the policy that request is over; whether the answer goes
   // on is the recovery module's decision, and a continuation is a new request to the policy.
-  void streamLost(Request& r, AttemptEnded ended, const std::string& why, recovery::Ending ending) {
-    ended.requestOver = true;
+  void streamLost(Request& r, AttemptEnded ended, const std::string& why, recovery::AttemptEnd ending) {
+    ended.requestFinished = true;
     r.started = false;
-    const recovery::Decision decision = recovery_.lost(
-        now_, {r.key, r.asked.classIndex, static_cast<double>(r.asked.work->promptTokens + r.nextIndex),
-               r.end - now_ - options_.answerMargin, r.moves, r.attempts, ending});
-    const bool over = decision.verdict == recovery::Verdict::kGiveUp;
-    if (over) answer(r, Verdict::kFailed, Duration(0), "stream broke: " + why + "; " + decision.why);
+    const recovery::Decision decision = recovery_.onStreamLost(
+        now_, {r.key, r.asked.classIndex, static_cast<double>(r.asked.payload->promptTokens + r.nextIndex),
+               r.end - now_ - options_.responseMargin, r.moves, r.attempts, ending});
+    const bool over = decision.disposition == recovery::Disposition::kGiveUp;
+    if (over) answer(r, FinalStatus::kFailed, Duration(0), "stream broke: " + why + "; " + decision.reason);
     feed(ended);
     if (over) return;
     names_.erase(r.policyId);
     r.waits = true;
-    r.lastEngine = ended.server;
-    record(r, "lost", ended.server, ended.attempt + r.firstNumber, why + "; " + decision.why);
-    if (decision.verdict == recovery::Verdict::kGoOn) goOn(r);
-    if (decision.verdict == recovery::Verdict::kFence) askToFence(r);
+    r.lastEngine = ended.engine;
+    record(r, "lost", ended.engine, ended.attempt + r.firstNumber, why + "; " + decision.reason);
+    if (decision.disposition == recovery::Disposition::kContinue) goOn(r);
+    if (decision.disposition == recovery::Disposition::kFenceFirst) askToFence(r);
   }
 
   void askToFence(const Request& r) {
@@ -406,36 +408,36 @@
   // Takes a stream from a writer that may still be at it.
   void takeAway(Request& r, Outcome outcome, const char* why) {
     const auto ended = endCall(r, outcome, why);
-    if (ended) streamLost(r, *ended, why, recovery::Ending::kCalledOff);
+    if (ended) streamLost(r, *ended, why, recovery::AttemptEnd::kAbandoned);
   }
 
   // The rest of an answer that broke off with another node, or another call: as a stream that was taken away
   // from a writer that may still be at it.
-  void resume(Request& r, Resumed& from) {
+  void resume(Request& r, ResumedStream& from) {
     ++counts_.resumed;
     takeOver(from);
     r.id = from.id;
     ids_[r.id] = r.key;
     r.number = r.firstNumber = from.attempt + 1;
-    r.nextIndex = from.next;
-    r.sent = std::move(from.text);
+    r.nextIndex = from.nextTokenIndex;
+    r.sent = std::move(from.generatedText);
     r.lastEngine = from.engine;
     names_.erase(r.policyId);
-    const auto tokens = static_cast<double>(r.work->promptTokens + from.next);
-    const Instant end = r.end - options_.answerMargin;
-    recovery_.started(now_, r.key, {r.asked.classIndex, from.engine, tokens, 0, end, 0, 0});
-    recovery_.token(now_, r.key, r.sent.size());
-    const recovery::Decision decision = recovery_.lost(
-        now_, {r.key, r.asked.classIndex, tokens, end - now_, 0, 0, recovery::Ending::kCalledOff});
-    if (decision.verdict == recovery::Verdict::kGiveUp)
-      return answer(r, Verdict::kFailed, Duration(0), "cannot be resumed: " + decision.why);
+    const auto tokens = static_cast<double>(r.work->promptTokens + from.nextTokenIndex);
+    const Instant end = r.end - options_.responseMargin;
+    recovery_.onStreamStarted(now_, r.key, {r.asked.classIndex, from.engine, tokens, 0, end, 0, 0});
+    recovery_.onToken(now_, r.key, r.sent.size());
+    const recovery::Decision decision = recovery_.onStreamLost(
+        now_, {r.key, r.asked.classIndex, tokens, end - now_, 0, 0, recovery::AttemptEnd::kAbandoned});
+    if (decision.disposition == recovery::Disposition::kGiveUp)
+      return answer(r, FinalStatus::kFailed, Duration(0), "cannot be resumed: " + decision.reason);
     r.waits = true;
-    record(r, "resumed", from.engine, from.attempt, "as " + r.name + "; " + decision.why);
+    record(r, "resumed", from.engine, from.attempt, "as " + r.name + "; " + decision.reason);
     askToFence(r);
   }
 
   // Where this node itself still has the answer under way, its client has left that call for this one.
-  void takeOver(Resumed& from) {
+  void takeOver(ResumedStream& from) {
     const auto it = ids_.find(from.id);
     if (it == ids_.end()) return;
     Request& old = requests_.at(it->second);
@@ -444,7 +446,7 @@
     if (call != calls_.end()) from.engine = call->second.engine;
     if (old.waits) from.engine = old.lastEngine;
     if (old.answered) return;
-    giveUp(old, Verdict::kFailed, Outcome::kCancelled, "resumed by another call");
+    giveUp(old, FinalStatus::kFailed, Outcome::kCancelled, "resumed by another call");
   }
 
   void goOn(Request& r) {
@@ -454,38 +456,38 @@
     r.firstNumber = r.number;
     r.policyId = r.name + "+" + std::to_string(r.moves);
     names_.emplace(r.policyId, r.key);
-    auto work = std::make_shared<Work>(*r.asked.work);
+    auto work = std::make_shared<RequestPayload>(*r.asked.payload);
     work->prompt += r.sent;
     work->promptTokens += r.nextIndex;
-    work->firstIndex = r.nextIndex;
+    work->firstTokenIndex = r.nextIndex;
     r.work = std::move(work);
     record(r, "continued", {}, -1, "from token " + std::to_string(r.nextIndex));
     tellPolicy(r);
   }
 
   void lookAtStreams() {
-    for (const recovery::Recovery::Move& move : recovery_.moves(now_)) {
+    for (const recovery::Recovery::Migration& move : recovery_.streamsToMigrate(now_)) {
       const auto it = requests_.find(move.stream);
       if (it == requests_.end() || it->second.answered || !it->second.started) continue;
-      takeAway(it->second, Outcome::kTimeout, move.why);
+      takeAway(it->second, Outcome::kTimeout, move.reason);
     }
     takeTurns();
   }
 
   void takeTurns() {
-    const recovery::Recovery::Turns turns = recovery_.turns(now_);
-    for (const RequestKey key : turns.fence) {
+    const recovery::Recovery::DueStreams turns = recovery_.takeDueStreams(now_);
+    for (const RequestKey key : turns.toFence) {
       const auto it = requests_.find(key);
       if (it != requests_.end() && !it->second.answered) askToFence(it->second);
     }
-    for (const RequestKey key : turns.goOn) {
+    for (const RequestKey key : turns.toContinue) {
       const auto it = requests_.find(key);
       if (it != requests_.end() && !it->second.answered) goOn(it->second);
     }
-    for (const RequestKey key : turns.giveUp) {
+    for (const RequestKey key : turns.toGiveUp) {
       const auto it = requests_.find(key);
       if (it == requests_.end() || it->second.answered) continue;
-      answer(it->second, Verdict::kFailed, Duration(0), "stream broke; no turn for its continuation");
+      answer(it->second, FinalStatus::kFailed, Duration(0), "stream broke; no turn for its continuation");
     }
   }
 
@@ -506,23 +508,24 @@
     Request& r = it->second;
     r.timer.reset();
     if (r.answered) return;
-    if (!r.started && !r.waits) ++counts_.guarded;
+    if (!r.started && !r.waits) ++counts_.actionsBlocked;
     if (r.started) return endStream(r);
     // What was never sent on is refused, not failed: trying again is harmless.
-    giveUp(r, r.attempts == 0 ? Verdict::kRefused : Verdict::kDeadline, Outcome::kTimeout, "time is up");
+    giveUp(r, r.attempts == 0 ? FinalStatus::kRejected : FinalStatus::kDeadlineExceeded, Outcome::kTimeout,
+           "time is up");
   }
 
   // Answers it, whatever the policy meant to do with it.
-  void giveUp(Request& r, Verdict verdict, Outcome outcome, const char* why) {
+  void giveUp(Request& r, FinalStatus verdict, Outcome outcome, const char* why) {
     const RequestId id{r.policyId};
     answer(r, verdict, Duration(0), why);
     const auto ended = endCall(r, outcome, why);
     if (ended) feed(*ended);
-    feed(ClientGone{id});
+    feed(ClientDisconnected{id});
   }
 
   void endStream(Request& r) {
-    answer(r, Verdict::kDeadline, Duration(0), "time is up");
+    answer(r, FinalStatus::kDeadlineExceeded, Duration(0), "time is up");
     const auto ended = endCall(r, Outcome::kCancelled, "time is up");
     if (ended) feed(*ended);
   }
@@ -546,7 +549,7 @@
   std::optional<AttemptEnded> endCall(Request& r, Outcome outcome, const char* why) {
     const auto it = calls_.find(r.out);
     if (it == calls_.end()) return std::nullopt;
-    out_.emplace_back(CallOff{it->first});
+    out_.emplace_back(CancelCall{it->first});
     const Call call = dropCall(it, outcome);
     record(r, "call_off", call.engine, call.attempt, why);
     // Its reply may be on the way: whatever it has left is let go by name.
@@ -555,14 +558,14 @@
     return endOf(r, call, outcome, now_);
   }
 
-  void answer(Request& r, Verdict verdict, Duration retryAfter, const std::string& why) {
+  void answer(Request& r, FinalStatus verdict, Duration retryAfter, const std::string& why) {
     r.answered = true;
     // Else its first token was the answer.
     if (r.nextIndex == 0) recordViolation(r, guard_.answered(now_, r.key, r.end));
     touch(r);
     ++countOf(counts_, verdict);
     record(r, nameOf(verdict), {}, -1, why);
-    out_.emplace_back(Answer{r.key, verdict, retryAfter, why});
+    out_.emplace_back(FinalResponse{r.key, verdict, retryAfter, why});
   }
 
   void letGoState(Request& r) {
@@ -573,7 +576,7 @@
 
   void releaseState(const Request& r, const char* why) {
     recordViolation(r, guard_.stateFreed(now_, r.key), r.stateAt, r.stateAttempt);
-    out_.emplace_back(LetGo{r.id, r.stateAttempt, *r.stateAt});
+    out_.emplace_back(ReleaseState{r.id, r.stateAttempt, *r.stateAt});
     record(r, "release", *r.stateAt, r.stateAttempt, why);
   }
 
@@ -585,8 +588,8 @@
       return r.out != 0 || r.stateAt.has_value();
     };
     for (const LateStates::Attempt& late : lateStates_.due(now_, isBusy)) {
-      out_.emplace_back(LetGo{late.id, late.number, late.engine});
-      if (options_.records)
+      out_.emplace_back(ReleaseState{late.id, late.number, late.engine});
+      if (options_.recordsEnabled)
         out_.emplace_back(Record{now_, late.id, "release_by_name", late.engine, late.number, {}});
     }
     const std::optional<Instant> due = lateStates_.nextDue();
@@ -597,7 +600,7 @@
 
   void letGoSeat(Request& r) {
     if (!r.seatAt) return;
-    out_.emplace_back(LetGo{r.id, r.number, *r.seatAt});
+    out_.emplace_back(ReleaseState{r.id, r.number, *r.seatAt});
     r.seatAt.reset();
   }
 
@@ -609,13 +612,14 @@
     return it == names_.end() ? nullptr : &requests_.at(it->second);
   }
 
-  void record(const Request& r, const char* action, std::optional<ServerId> engine = {}, int attempt = -1,
+  void record(const Request& r, const char* action, std::optional<EngineId> engine = {}, int attempt = -1,
               std::string why = {}) {
-    if (options_.records) out_.emplace_back(Record{now_, r.id, action, engine, attempt, std::move(why)});
+    if (options_.recordsEnabled)
+      out_.emplace_back(Record{now_, r.id, action, engine, attempt, std::move(why)});
   }
 
   // Also where no records are asked for.
-  void recordViolation(const Request& r, std::optional<Violation> rule, std::optional<ServerId> engine = {},
+  void recordViolation(const Request& r, std::optional<Violation> rule, std::optional<EngineId> engine = {},
                        int attempt = -1) {
     if (rule) out_.emplace_back(Record{now_, r.id, "violation", engine, attempt, nameOf(*rule)});
   }
@@ -651,57 +655,58 @@
 Core& Core::operator=(Core&&) noexcept = default;
 Core::~Core() = default;
 
-void Core::serverList(Instant now, const ServerList& list) {
+void Core::onEngineListUpdate(Instant now, const EngineListUpdate& list) {
   step(now, [&](Impl& impl) {
     impl.takeList(list);
     impl.feed(list);
   });
 }
 
-void Core::arrived(Instant now, Arrival arrival) {
+void Core::onRequest(Instant now, NewRequest arrival) {
   step(now, [&](Impl& impl) { impl.arrived(std::move(arrival)); });
 }
 
-void Core::clientGone(Instant now, RequestKey request) {
+void Core::onClientDisconnected(Instant now, RequestKey request) {
   step(now, [&](Impl& impl) { impl.clientGone(request); });
 }
 
-void Core::readEnded(Instant now, CallKey call, std::string state, double keptTokens,
-                     const std::optional<LoadReport>& load) {
+void Core::onPrefillEnded(Instant now, CallKey call, std::string state, double keptTokens,
+                          const std::optional<LoadReport>& load) {
   step(now, [&](Impl& impl) { impl.readEnded(call, std::move(state), keptTokens, load); });
 }
 
-void Core::token(Instant now, CallKey call, std::uint32_t index, std::string text) {
+void Core::onToken(Instant now, CallKey call, std::uint32_t index, std::string text) {
   step(now, [&](Impl& impl) { impl.token(call, index, std::move(text)); });
 }
 
-void Core::callEnded(Instant now, CallKey call, Outcome outcome, double keptTokens,
-                     const std::optional<LoadReport>& load, const std::string& why, recovery::Ending ending) {
+void Core::onCallEnded(Instant now, CallKey call, Outcome outcome, double keptTokens,
+                       const std::optional<LoadReport>& load, const std::string& why,
+                       recovery::AttemptEnd ending) {
   step(now, [&](Impl& impl) { impl.callEnded(call, outcome, keptTokens, load, why, ending); });
 }
 
-void Core::fenced(Instant now, RequestKey request, int attempt) {
+void Core::onAttemptFenced(Instant now, RequestKey request, int attempt) {
   step(now, [&](Impl& impl) { impl.fenced(request, attempt); });
 }
 
-void Core::leaving(Instant now, ServerId engine, std::optional<Instant> by) {
+void Core::onEngineShutdownNotice(Instant now, EngineId engine, std::optional<Instant> by) {
   step(now, [&](Impl& impl) { impl.leaving(engine, by); });
 }
 
-void Core::goesAway(Instant now, ServerId engine) {
+void Core::onGoAway(Instant now, EngineId engine) {
   step(now, [&](Impl& impl) { impl.goesAway(engine); });
 }
 
-void Core::probeEnded(Instant now, ServerId engine, Outcome outcome, Duration elapsed,
-                      const std::optional<LoadReport>& load) {
+void Core::onProbeEnded(Instant now, EngineId engine, Outcome outcome, Duration elapsed,
+                        const std::optional<LoadReport>& load) {
   step(now, [&](Impl& impl) { impl.feed(ProbeEnded{engine, outcome, elapsed, load}); });
 }
 
-void Core::seatAnswered(Instant now, RequestKey request, ServerId engine, bool held) {
+void Core::onReservationResult(Instant now, RequestKey request, EngineId engine, bool held) {
   step(now, [&](Impl& impl) { impl.seatAnswered(request, engine, held); });
 }
 
-void Core::paused(Instant now, RequestKey request, bool paused) {
+void Core::onClientPaused(Instant now, RequestKey request, bool paused) {
   step(now, [&](Impl& impl) { impl.paused(request, paused); });
 }
 
@@ -717,25 +722,25 @@
   step(now, [](Impl& impl) { impl.advance(); });
 }
 
-std::optional<Instant> Core::nextWake() const {
+std::optional<Instant> Core::nextWakeup() const {
   return impl_->timers_.empty() ? std::nullopt : std::optional(impl_->timers_.begin()->first);
 }
 
-std::vector<Command> Core::take() { return std::exchange(impl_->out_, {}); }
+std::vector<Command> Core::takeCommands() { return std::exchange(impl_->out_, {}); }
 
-bool Core::takeInto(std::vector<Command>& commands) {
+bool Core::takeCommandsInto(std::vector<Command>& commands) {
   commands.clear();
   commands.swap(impl_->out_);
   return !commands.empty();
 }
 
-bool Core::draining() const { return impl_->draining_; }
-std::size_t Core::open() const { return impl_->open(); }
-std::size_t Core::owed() const { return impl_->requests_.size(); }
-const Counts& Core::counts() const { return impl_->counts_; }
+bool Core::isDraining() const { return impl_->draining_; }
+std::size_t Core::openRequests() const { return impl_->open(); }
+std::size_t Core::pendingObligations() const { return impl_->requests_.size(); }
+const Counters& Core::counters() const { return impl_->counts_; }
 const ViolationCounts& Core::violations() const { return impl_->violations(); }
 
-CallKey Core::streamOf(RequestKey request) const {
+CallKey Core::streamingCall(RequestKey request) const {
   const auto it = impl_->requests_.find(request);
   return it != impl_->requests_.end() && it->second.started ? it->second.out : 0;
 }
--- a/src/router/descriptions.cpp
+++ b/src/router/descriptions.cpp
@@ -2,15 +2,15 @@
 
 namespace gannetcourse::router {
 
-const char* nameOf(Verdict verdict) {
+const char* nameOf(FinalStatus verdict) {
   switch (verdict) {
-    case Verdict::kServed:
+    case FinalStatus::kServed:
       return "served";
-    case Verdict::kRefused:
+    case FinalStatus::kRejected:
       return "refused";
-    case Verdict::kFailed:
+    case FinalStatus::kFailed:
       return "failed";
-    case Verdict::kDeadline:
+    case FinalStatus::kDeadlineExceeded:
       return "deadline";
   }
   return "";
--- a/src/router/descriptions.h
+++ b/src/router/descriptions.h
@@ -18,17 +18,17 @@
 }
 
 // "CLASS prompt TOKENS prefix TOKENS aim SECONDS token SECONDS worth WORTH"
-inline std::string askedFor(const ClassSettings& c, const Work& work) {
-  const double aim = c.aim.count() + c.aimPerToken.count() * work.promptTokens;
+inline std::string askedFor(const ClassSettings& c, const RequestPayload& work) {
+  const double aim = c.ttftObjective.count() + c.ttftObjectivePerToken.count() * work.promptTokens;
   return work.requestClass + " prompt " + std::to_string(work.promptTokens) + " prefix " +
          std::to_string(work.prefixTokens) + " aim " + textOf(aim, 3) + " token " +
-         textOf(c.tokenAim.count(), 3) + " worth " + textOf(c.worth, 2);
+         textOf(c.interTokenObjective.count(), 3) + " worth " + textOf(c.priorityWeight, 2);
 }
 
 // "expects SECONDS", and for a read "kept TOKENS"
-inline std::string expectationOf(const Send& send, bool reads) {
-  return "expects " + textOf(send.expected.count(), 3) +
-         (reads ? " kept " + textOf(send.expectedKept, 0) : "");
+inline std::string expectationOf(const StartAttempt& send, bool reads) {
+  return "expects " + textOf(send.expectedDuration.count(), 3) +
+         (reads ? " kept " + textOf(send.expectedCachedTokens, 0) : "");
 }
 
 }  // namespace gannetcourse::router
--- a/src/router/engine_roles.h
+++ b/src/router/engine_roles.h
@@ -12,12 +12,13 @@
 class EngineRoles {
  public:
   // Returns the engines that the list names as removed.
-  std::vector<ServerId> take(const ServerList& list) {
-    std::vector<ServerId> removed;
-    const bool isWhole = list.scope == ServerList::Scope::kFull || list.scope == ServerList::Scope::kSaved;
+  std::vector<EngineId> take(const EngineListUpdate& list) {
+    std::vector<EngineId> removed;
+    const bool isWhole =
+        list.scope == EngineListUpdate::Scope::kSnapshot || list.scope == EngineListUpdate::Scope::kCached;
     if (isWhole) roles_.clear();
-    for (const ServerEntry& entry : list.entries) {
-      if (entry.state == ServerEntry::State::kGone) {
+    for (const EngineEntry& entry : list.entries) {
+      if (entry.state == EngineEntry::State::kRemoved) {
         roles_.erase(entry.id);
         removed.push_back(entry.id);
       } else {
@@ -27,13 +28,13 @@
     return removed;
   }
 
-  std::optional<Role> of(ServerId engine) const {
+  std::optional<Role> of(EngineId engine) const {
     const auto it = roles_.find(engine);
     return it == roles_.end() ? std::nullopt : std::optional(it->second);
   }
 
  private:
-  std::map<ServerId, Role> roles_;
+  std::map<EngineId, Role> roles_;
 };
 
 }  // namespace gannetcourse::router
--- a/src/router/late_states.cpp
+++ b/src/router/late_states.cpp
@@ -28,18 +28,18 @@
 
 // One whose connection broke may have ended well just before. An error may have been a late second answer to
 // an earlier call on its connection, so that the read goes on: it is let go of once its request is over.
-void LateStates::readEnded(Instant now, Attempt attempt, Outcome outcome, recovery::Ending ending) {
-  const bool lost = outcome == Outcome::kReset || ending == recovery::Ending::kCalledOff;
+void LateStates::readEnded(Instant now, Attempt attempt, Outcome outcome, recovery::AttemptEnd ending) {
+  const bool lost = outcome == Outcome::kReset || ending == recovery::AttemptEnd::kAbandoned;
   if (lost || outcome == Outcome::kError) add(now, now, std::move(attempt), !lost);
 }
 
-void LateStates::answered(ServerId engine, Instant sentAt) {
+void LateStates::answered(EngineId engine, Instant sentAt) {
   if (entries_.empty()) return;
   Instant& newest = answered_.try_emplace(engine, sentAt).first->second;
   newest = std::max(newest, sentAt);
 }
 
-void LateStates::started(const std::string& id, ServerId engine, Instant sentAt) {
+void LateStates::started(const std::string& id, EngineId engine, Instant sentAt) {
   answered(engine, sentAt);
   std::erase_if(entries_, [&id](const Entry& entry) { return entry.yields && entry.attempt.id == id; });
 }
--- a/src/router/late_states.h
+++ b/src/router/late_states.h
@@ -23,7 +23,7 @@
   struct Attempt {
     std::string id;  // the request's name for engines
     int number = 0;
-    ServerId engine;
+    EngineId engine;
   };
   static constexpr std::size_t kMost = 4096;  // attempts on record; past it the oldest is forgotten
 
@@ -34,14 +34,14 @@
   // A read was given up just now: its first release is due at once.
   void addRead(Instant now, Attempt attempt) { add(now, now, std::move(attempt)); }
   // A read has ended just now, by whatever its engine or its connection said.
-  void readEnded(Instant now, Attempt attempt, Outcome outcome, recovery::Ending ending);
+  void readEnded(Instant now, Attempt attempt, Outcome outcome, recovery::AttemptEnd ending);
   // A write was given up just now: its state is known, and let go of by others first.
   void addWrite(Instant now, Attempt attempt) { add(now, now + period_, std::move(attempt)); }
   // An engine has answered an attempt that was sent then: it has seen the end of those given up before.
-  void answered(ServerId engine, Instant sentAt);
+  void answered(EngineId engine, Instant sentAt);
   // ... with the first token: what else is held for the request goes by itself, so that reads that were
   // answered with an error are forgotten.
-  void started(const std::string& id, ServerId engine, Instant sentAt);
+  void started(const std::string& id, EngineId engine, Instant sentAt);
 
   // When due() is to be asked.
   std::optional<Instant> nextDue() const { return nextDue_; }
@@ -70,7 +70,7 @@
   std::deque<Entry> entries_;       // the oldest first
   std::optional<Instant> nextDue_;  // the earliest of theirs
   // While there are entries: when the newest answered attempt of each engine was sent.
-  std::map<ServerId, Instant> answered_;
+  std::map<EngineId, Instant> answered_;
 };
 
 }  // namespace gannetcourse::router
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -26,43 +26,43 @@
   std::string name;      // its name at this node
   std::string id;        // its name for engines; the same, but for answers that broke off elsewhere
   std::string policyId;  // its name for the policy: each continuation is a new request there
-  Arrival asked;
+  NewRequest asked;
   int moves = 0;                         // continuations
   int number = 0, firstNumber = 0;       // of the next attempt, as engines know it; of policyId's first
   std::string sent;                      // text of the answer so far, as long as it is kept
   bool keepsText = true, waits = false;  // lost, until its turn comes
-  std::shared_ptr<const Work> work;
+  std::shared_ptr<const RequestPayload> work;
   Instant end;  // when the client's time for the whole answer is up
   bool answered = false, started = false;
   int attempts = 0;
   CallKey out = 0;  // the one call that is out; 0 = none
   std::uint32_t nextIndex = 0;
-  std::optional<ServerId> stateAt, seatAt;  // what is held for it, and where
+  std::optional<EngineId> stateAt, seatAt;  // what is held for it, and where
   std::string state;
   int stateAttempt = 0;
-  ServerId lastEngine;  // of the stream that was lost
+  EngineId lastEngine;  // of the stream that was lost
   TimerAt timer;        // the last resort
 };
 
 // The count of the requests that ended so.
-inline std::uint64_t& countOf(Counts& counts, Verdict verdict) {
+inline std::uint64_t& countOf(Counters& counts, FinalStatus verdict) {
   switch (verdict) {
-    case Verdict::kServed:
+    case FinalStatus::kServed:
       return counts.served;
-    case Verdict::kRefused:
-      return counts.refused;
-    case Verdict::kFailed:
+    case FinalStatus::kRejected:
+      return counts.rejected;
+    case FinalStatus::kFailed:
       return counts.failed;
-    case Verdict::kDeadline:
+    case FinalStatus::kDeadlineExceeded:
       break;
   }
-  return counts.deadline;
+  return counts.deadlineExceeded;
 }
 
 struct Call {
   Request* owner = nullptr;  // requests outlive their calls
   int attempt = 0;
-  ServerId engine;
+  EngineId engine;
   bool reads = false;
   Instant sentAt;
   TimerAt timer;  // of its time-out
@@ -73,9 +73,9 @@
   AttemptEnded ended;
   ended.id = RequestId{request.policyId};
   ended.attempt = call.attempt - request.firstNumber;
-  ended.server = call.engine;
+  ended.engine = call.engine;
   ended.outcome = outcome;
-  ended.requestOver = request.answered;
+  ended.requestFinished = request.answered;
   ended.elapsed = now - call.sentAt;
   return ended;
 }
--- a/src/router/rule_guard.cpp
+++ b/src/router/rule_guard.cpp
@@ -19,21 +19,21 @@
 
 const char* nameOf(Violation violation) {
   switch (violation) {
-    case Violation::kSecondAnswer:
+    case Violation::kSecondResponse:
       return "second_answer";
-    case Violation::kLateAnswer:
+    case Violation::kLateResponse:
       return "late_answer";
-    case Violation::kSentAfterAnswer:
+    case Violation::kAttemptAfterResponse:
       return "sent_after_answer";
-    case Violation::kOverlap:
+    case Violation::kConcurrentAttempts:
       return "overlap";
-    case Violation::kRepeat:
+    case Violation::kDuplicateEffect:
       return "repeat";
-    case Violation::kRefusedAfterRun:
+    case Violation::kRejectedAfterStart:
       return "refused_after_run";
-    case Violation::kSentToStopped:
+    case Violation::kAttemptToDrainingEngine:
       return "sent_to_stopped";
-    case Violation::kPinned:
+    case Violation::kStateLeaseExpired:
       return "pinned";
     case Violation::kCount:
       break;
@@ -58,14 +58,14 @@
 
 void RuleGuard::takeSettings(const Settings& settings) {
   classes_ = settings.classes;
-  pinLimit_ = settings.pinLimit;
+  pinLimit_ = settings.stateLeaseLimit;
 }
 
-void RuleGuard::takeList(const ServerList& list) {
-  if (list.scope == ServerList::Scope::kFailed) return;
-  if (list.scope != ServerList::Scope::kChanges) engines_.clear();
-  for (const ServerEntry& entry : list.entries) {
-    if (entry.state == ServerEntry::State::kGone) {
+void RuleGuard::takeList(const EngineListUpdate& list) {
+  if (list.scope == EngineListUpdate::Scope::kFetchFailed) return;
+  if (list.scope != EngineListUpdate::Scope::kDelta) engines_.clear();
+  for (const EngineEntry& entry : list.entries) {
+    if (entry.state == EngineEntry::State::kRemoved) {
       engines_.erase(entry.id);
     } else {
       engines_[entry.id] = entry;
@@ -77,7 +77,7 @@
   requests_[request].classIndex = classIndex;
 }
 
-void RuleGuard::sent(Instant now, RequestKey request, ServerId engine, bool reads) {
+void RuleGuard::sent(Instant now, RequestKey request, EngineId engine, bool reads) {
   Watched* const watched = find(request);
   if (watched != nullptr) watched->out = Attempt{engine, reads, now};
 }
@@ -88,7 +88,7 @@
   const Attempt attempt = *std::exchange(watched->out, std::nullopt);
   if (!attempt.reads && !neverRan(outcome) && !watched->run) {
     const auto engine = engines_.find(attempt.engine);
-    ServerEntry entry;
+    EngineEntry entry;
     entry.id = attempt.engine;
     watched->run = Run{attempt.sentAt, engine == engines_.end() ? entry : engine->second};
   }
@@ -110,19 +110,19 @@
   if (watched == nullptr || !watched->heldSince) return std::nullopt;
   const Duration held = now - *std::exchange(watched->heldSince, std::nullopt);
   if (pinLimit_.count() <= 0 || held <= pinLimit_) return std::nullopt;
-  return count(Violation::kPinned);
+  return count(Violation::kStateLeaseExpired);
 }
 
 std::optional<Violation> RuleGuard::answered(Instant now, RequestKey request, Instant due) {
   Watched* const watched = find(request);
   if (watched == nullptr) return std::nullopt;
   std::optional<Violation> rule;
-  if (std::exchange(watched->isAnswered, true)) rule = count(Violation::kSecondAnswer);
-  if (now > due + kLateBy) rule = count(Violation::kLateAnswer);
+  if (std::exchange(watched->isAnswered, true)) rule = count(Violation::kSecondResponse);
+  if (now > due + kLateBy) rule = count(Violation::kLateResponse);
   return rule;
 }
 
-std::optional<Violation> RuleGuard::checkSend(Instant now, RequestKey request, ServerId engine) {
+std::optional<Violation> RuleGuard::checkSend(Instant now, RequestKey request, EngineId engine) {
   const Watched* const watched = find(request);
   if (watched == nullptr) return std::nullopt;
   const std::optional<Violation> rule = ruleAgainstSend(now, *watched, engine);
@@ -131,35 +131,35 @@
 }
 
 std::optional<Violation> RuleGuard::ruleAgainstSend(Instant now, const Watched& request,
-                                                    ServerId engine) const {
-  if (request.isAnswered) return Violation::kSentAfterAnswer;
-  if (request.out) return Violation::kOverlap;
+                                                    EngineId engine) const {
+  if (request.isAnswered) return Violation::kAttemptAfterResponse;
+  if (request.out) return Violation::kConcurrentAttempts;
   const auto entry = engines_.find(engine);
-  if (entry == engines_.end() || entry->second.state != ServerEntry::State::kServing)
-    return Violation::kSentToStopped;
-  if (request.run && !repeatsAreDropped(now, request, entry->second)) return Violation::kRepeat;
+  if (entry == engines_.end() || entry->second.state != EngineEntry::State::kServing)
+    return Violation::kAttemptToDrainingEngine;
+  if (request.run && !repeatsAreDropped(now, request, entry->second)) return Violation::kDuplicateEffect;
   return std::nullopt;
 }
 
 // Whether a further attempt there has no second effect.
-bool RuleGuard::repeatsAreDropped(Instant now, const Watched& request, const ServerEntry& engine) const {
+bool RuleGuard::repeatsAreDropped(Instant now, const Watched& request, const EngineEntry& engine) const {
   const ClassSettings& c = classOf(request);
-  if (c.effect == Effect::kSafe) return true;
-  if (c.effect == Effect::kUnsafe || now > request.run->sentAt + c.dedupWindow) return false;
-  if (c.group == DedupGroup::kAll) return true;
-  const ServerEntry& first = request.run->engine;
-  return c.group == DedupGroup::kZone ? engine.zone == first.zone : engine.cell == first.cell;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
+  if (c.idempotency == Idempotency::kAtMostOnce || now > request.run->sentAt + c.dedupWindow) return false;
+  if (c.dedupScope == DedupScope::kAll) return true;
+  const EngineEntry& first = request.run->engine;
+  return c.dedupScope == DedupScope::kZone ? engine.zone == first.zone : engine.cell == first.cell;
 }
 
 std::optional<Violation> RuleGuard::checkRefusal(RequestKey request) {
   const Watched* const watched = find(request);
   if (watched == nullptr) return std::nullopt;
   const ClassSettings& c = classOf(*watched);
-  const bool harmless =
-      c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == DedupGroup::kAll);
+  const bool harmless = c.idempotency == Idempotency::kIdempotent ||
+                        (c.idempotency == Idempotency::kIdempotencyKey && c.dedupScope == DedupScope::kAll);
   const bool mayHaveRun = watched->run || (watched->out && !watched->out->reads);
   if (harmless || !mayHaveRun) return std::nullopt;
-  return count(Violation::kRefusedAfterRun);
+  return count(Violation::kRejectedAfterStart);
 }
 
 RuleGuard::Watched* RuleGuard::find(RequestKey request) {
--- a/src/router/rule_guard.h
+++ b/src/router/rule_guard.h
@@ -23,11 +23,11 @@
   explicit RuleGuard(const Settings& settings) { takeSettings(settings); }
 
   void takeSettings(const Settings& settings);
-  void takeList(const ServerList& list);
+  void takeList(const EngineListUpdate& list);
 
   // ---- A request's life. Requests that are not known are passed over. ----
   void taken(RequestKey request, std::size_t classIndex);
-  void sent(Instant now, RequestKey request, ServerId engine, bool reads);
+  void sent(Instant now, RequestKey request, EngineId engine, bool reads);
   void ended(Instant now, RequestKey request, Outcome outcome);
   void stateHeld(Instant now, RequestKey request);
   void stateTaken(RequestKey request);  // by a writer
@@ -37,7 +37,7 @@
   void forget(RequestKey request) { requests_.erase(request); }
 
   // Nothing where a further attempt there breaks no rule; else the rule, which has been counted.
-  std::optional<Violation> checkSend(Instant now, RequestKey request, ServerId engine);
+  std::optional<Violation> checkSend(Instant now, RequestKey request, EngineId engine);
   // The same of a refusal, which promises that nothing has run.
   std::optional<Violation> checkRefusal(RequestKey request);
 
@@ -45,14 +45,14 @@
 
  private:
   struct Attempt {
-    ServerId engine;
+    EngineId engine;
     bool reads = false;
     Instant sentAt;
   };
   // An attempt that may have had its effect: the first of the request.
   struct Run {
     Instant sentAt;
-    ServerEntry engine;
+    EngineEntry engine;
   };
   struct Watched {
     std::size_t classIndex = 0;
@@ -62,15 +62,15 @@
     std::optional<Instant> heldSince;  // the end of its read, or of the last attempt that has surely arrived
   };
 
-  std::optional<Violation> ruleAgainstSend(Instant now, const Watched& request, ServerId engine) const;
-  bool repeatsAreDropped(Instant now, const Watched& request, const ServerEntry& engine) const;
+  std::optional<Violation> ruleAgainstSend(Instant now, const Watched& request, EngineId engine) const;
+  bool repeatsAreDropped(Instant now, const Watched& request, const EngineEntry& engine) const;
   const ClassSettings& classOf(const Watched& request) const { return classes_.at(request.classIndex); }
   Watched* find(RequestKey request);
   Violation count(Violation violation);
 
   std::vector<ClassSettings> classes_;
   Duration pinLimit_{0};
-  std::map<ServerId, ServerEntry> engines_;
+  std::map<EngineId, EngineEntry> engines_;
   std::unordered_map<RequestKey, Watched> requests_;
   ViolationCounts violations_{};
 };
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -23,7 +23,7 @@
   template <class Done>
   bool until(const Done& done) {
     const Instant end = net::monotonicNow() + Duration(kBound);
-    while (!done() && net::monotonicNow() < end) loop.step(Duration(0.02));
+    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
     return done();
   }
 
@@ -63,7 +63,7 @@
 
 TEST_F(ChannelTest, ReadsAnAnswer) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0"));
-  EXPECT_EQ(end.how, CallEnd::How::kStatus);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kStatus);
   EXPECT_EQ(end.status.code, Code::kOk);
   EXPECT_EQ(messages, std::vector<std::string>{"world"});
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kOk);
@@ -80,19 +80,19 @@
 
 TEST_F(ChannelTest, RefusedStreamsDidNotRun) {
   const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kRefusedStream, 4)));
-  EXPECT_EQ(end.how, CallEnd::How::kRefused);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
 TEST_F(ChannelTest, StreamsPastAGoawayDidNotRun) {
   const CallEnd end = answered(frameOf(kGoaway, 0, 0, number(0, 4) + number(0, 4)));
-  EXPECT_EQ(end.how, CallEnd::How::kRefused);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
 TEST_F(ChannelTest, OtherResetsMayHaveRun) {
   const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kInternalError, 4)));
-  EXPECT_EQ(end.how, CallEnd::How::kReset);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kReset);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kReset);
 }
 
@@ -101,22 +101,22 @@
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   peer.reset();
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends.front().how, CallEnd::How::kBroken);
+  EXPECT_EQ(ends.front().kind, CallEnd::Kind::kConnectionLost);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kReset);
 }
 
 TEST_F(ChannelTest, ARefusedConnectDidNotRun) {
-  listener.refuse(true);
+  listener.rejectConnections(true);
   const auto started = call();
   ASSERT_TRUE(until([&] { return !ends.empty(); }));
-  EXPECT_EQ(ends.front().how, CallEnd::How::kNotSent);
+  EXPECT_EQ(ends.front().kind, CallEnd::Kind::kNotSent);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kConnectFailed);
-  listener.refuse(false);
+  listener.rejectConnections(false);
   // The back-off is bounded: a later call finds the server again.
   ASSERT_TRUE(until([&] {
     if (!peer && ends.size() < 100) {
       const auto again = call();
-      until([&] { return again->over() || peer != nullptr; });
+      until([&] { return again->isOver() || peer != nullptr; });
     }
     return peer != nullptr;
   }));
@@ -124,24 +124,24 @@
 
 TEST_F(ChannelTest, AnswersWithoutAStatusAreMalformed) {
   const CallEnd end = answered(head() + frameOf(kData, kEndStream, 1, frame("world")));
-  EXPECT_EQ(end.how, CallEnd::How::kMalformed);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kError);
 }
 
 TEST_F(ChannelTest, HttpFaultsBecomeStatuses) {
   const CallEnd end = answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1, fields({{":status", "503"}})));
-  EXPECT_EQ(end.how, CallEnd::How::kMalformed);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(end.status.code, Code::kUnavailable);
 }
 
 TEST_F(ChannelTest, AnAnswerThatEndsInsideAMessageIsMalformed) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
-  EXPECT_EQ(end.how, CallEnd::How::kMalformed);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
 }
 
 TEST_F(ChannelTest, AnOversizedAnswerIsEnded) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
-  EXPECT_EQ(end.how, CallEnd::How::kMalformed);
+  EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_TRUE(until([&] {
     for (const Frame& f : peer->frames()) {
       if (f.type == kReset && f.stream == 1) return true;
@@ -163,7 +163,7 @@
     return false;
   }));
   peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame("late")) + trailers("0"));
-  for (int i = 0; i < 20; ++i) loop.step(Duration(0.01));
+  for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   EXPECT_EQ(ends.size(), 1u);
 }
@@ -181,7 +181,7 @@
   started->pause(true);
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame(std::string(10000, 'x'))));
-  for (int i = 0; i < 20; ++i) loop.step(Duration(0.01));
+  for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   const auto windowOfStream = [&] {
     std::size_t opened = 0;
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -41,7 +41,7 @@
     bool sent = false;
     const double end = fabric_.now() + kBound;
     while (!done() && fabric_.now() < end) {
-      loop_.step(Duration(0.01));
+      loop_.runOnce(Duration(0.01));
       for (const auto& peer : peers_) {
         const auto frames = peer->frames();
         if (sent || frames.empty() || frames.back().type != kData) continue;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -41,14 +41,14 @@
   const NodeSettings s = parseSettings(parts.text(), "node.xml");
   EXPECT_EQ(s.name, "n1");
   EXPECT_EQ(s.policy.zone, 0u);
-  EXPECT_EQ(s.policy.nodes, 3);
+  EXPECT_EQ(s.policy.routerCount, 3);
   EXPECT_EQ(s.policy.maxAttempts, 6);
-  EXPECT_DOUBLE_EQ(s.policy.pinLimit.count(), 0.5);
-  EXPECT_DOUBLE_EQ(s.policy.coldWarmAfter.count(), 13);
+  EXPECT_DOUBLE_EQ(s.policy.stateLeaseLimit.count(), 0.5);
+  EXPECT_DOUBLE_EQ(s.policy.slowStartDuration.count(), 13);
   EXPECT_TRUE(s.policy.probesAllowed);
-  EXPECT_TRUE(s.policy.worthByWork);
+  EXPECT_TRUE(s.policy.weightByTokens);
   EXPECT_DOUBLE_EQ(s.policy.tenants.at(0).quotaPerSecond, 12);
-  EXPECT_DOUBLE_EQ(s.policy.classes.at(0).tokenAim.count(), 0.06);
+  EXPECT_DOUBLE_EQ(s.policy.classes.at(0).interTokenObjective.count(), 0.06);
   EXPECT_DOUBLE_EQ(s.connectTimeout.count(), 0.1);
 }
 
@@ -154,7 +154,7 @@
   EXPECT_EQ(classInService(moved, "order"), a.classes.size());
   EXPECT_EQ(classInService(moved, "query"), a.classes.size() + 1);
   EXPECT_FALSE(moved.policy.classes[0].inService);
-  EXPECT_EQ(moved.policy.classes[0].aim, a.policy.classes[0].aim);
+  EXPECT_EQ(moved.policy.classes[0].ttftObjective, a.policy.classes[0].ttftObjective);
   const NodeSettings back = carriedOver(moved, a);
   EXPECT_EQ(back.classes.size(), moved.classes.size()) << "the way back takes no new place";
   EXPECT_EQ(classInService(back, "query"), 0u);
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -22,7 +22,7 @@
 constexpr double kLength = 15;  // seconds that a stream lasts
 constexpr double kStep = 0.02;
 
-std::string textOf(const std::optional<ServerId>& engine) {
+std::string textOf(const std::optional<EngineId>& engine) {
   return engine ? std::to_string(engine->value) : "-";
 }
 std::string textOf(double value) {
@@ -30,8 +30,9 @@
   std::snprintf(text, sizeof text, "%.9g", value);
   return text;
 }
-std::string textOf(const std::shared_ptr<const Work>& work) {
-  return work->prompt + "/" + std::to_string(work->promptTokens) + "/" + std::to_string(work->firstIndex);
+std::string textOf(const std::shared_ptr<const RequestPayload>& work) {
+  return work->prompt + "/" + std::to_string(work->promptTokens) + "/" +
+         std::to_string(work->firstTokenIndex);
 }
 std::string numbersIn(const std::string& text) {
   std::string numbers;
@@ -44,34 +45,34 @@
 // The commands as text, one line each.
 class CommandText {
  public:
-  std::string operator()(const StartRead& c) const {
+  std::string operator()(const StartPrefill& c) const {
     return "prefill " + id(c.call, c.request, c.id, c.attempt) + textOf(c.engine) + " " +
-           textOf(c.timeLeft.count()) + " " + textOf(c.waits.count()) + " " + textOf(c.work);
+           textOf(c.timeUntilDeadline.count()) + " " + textOf(c.timeout.count()) + " " + textOf(c.payload);
   }
-  std::string operator()(const StartWrite& c) const {
-    return "decode " + id(c.call, c.request, c.id, c.attempt) + textOf(c.engine) + " " + textOf(c.reader) +
-           " " + c.state + " " + textOf(c.timeLeft.count()) + " " + textOf(c.waits.count()) + " " +
-           textOf(c.work);
+  std::string operator()(const StartDecode& c) const {
+    return "decode " + id(c.call, c.request, c.id, c.attempt) + textOf(c.engine) + " " +
+           textOf(c.prefillEngine) + " " + c.stateHandle + " " + textOf(c.timeUntilDeadline.count()) + " " +
+           textOf(c.timeout.count()) + " " + textOf(c.payload);
   }
-  std::string operator()(const CallOff& c) const { return "cancel " + std::to_string(c.call); }
-  std::string operator()(const ReserveSeat& c) const {
+  std::string operator()(const CancelCall& c) const { return "cancel " + std::to_string(c.call); }
+  std::string operator()(const ReserveCapacity& c) const {
     return "reserve " + id(0, c.request, c.id, c.attempt) + textOf(c.engine);
   }
-  std::string operator()(const LetGo& c) const {
+  std::string operator()(const ReleaseState& c) const {
     return "release " + id(0, 0, c.id, c.attempt) + textOf(c.engine);
   }
   std::string operator()(const FenceAttempt& c) const {
     return "fence " + id(0, c.request, c.id, c.attempt) + textOf(c.engine);
   }
-  std::string operator()(const ResumeFrom& c) const {
+  std::string operator()(const ResumePoint& c) const {
     return "resume " + id(0, c.request, c.id, c.attempt) + textOf(c.engine);
   }
-  std::string operator()(const Deliver& c) const {
+  std::string operator()(const SendToken& c) const {
     return "token " + std::to_string(c.request) + " " + std::to_string(c.index) + " " + c.text;
   }
-  std::string operator()(const Answer& c) const {
-    return "response " + std::to_string(c.request) + " " + std::to_string(static_cast<int>(c.verdict)) + " " +
-           textOf(c.retryAfter.count()) + " " + c.why;
+  std::string operator()(const FinalResponse& c) const {
+    return "response " + std::to_string(c.request) + " " + std::to_string(static_cast<int>(c.status)) + " " +
+           textOf(c.retryAfter.count()) + " " + c.reason;
   }
   std::string operator()(const ProbeEngine& c) const { return "probe " + textOf(c.engine); }
   std::string operator()(const Subscribe&) const { return "subscribe"; }
@@ -79,7 +80,7 @@
   std::string operator()(const Record& c) {
     const auto kind = kinds_.emplace(c.action, kinds_.size()).first->second;
     return "record " + std::to_string(kind) + " " + textOf(c.at.time_since_epoch().count()) + " " +
-           c.request + " " + textOf(c.engine) + " " + std::to_string(c.attempt) + " " + numbersIn(c.why);
+           c.request + " " + textOf(c.engine) + " " + std::to_string(c.attempt) + " " + numbersIn(c.reason);
   }
 
  private:
@@ -118,7 +119,7 @@
 
   std::string play() {
     for (std::uint32_t id = 1; id <= 9; ++id) entries_.push_back(entryOf(id));
-    core_.serverList(at(), ServerList{ServerList::Scope::kFull, entries_});
+    core_.onEngineListUpdate(at(), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_});
     take();
     for (; now_ < kLength; now_ += kStep) {
       core_.advance(at());
@@ -135,14 +136,14 @@
       take();
       for (const Out& out : dueCalls()) progress(out);
     }
-    const Counts& c = core_.counts();
-    digest_.add(std::to_string(c.taken) + " " + std::to_string(c.resumed) + " " + std::to_string(c.served) +
-                " " + std::to_string(c.refused) + " " + std::to_string(c.failed) + " " +
-                std::to_string(c.deadline) + " " + std::to_string(c.clientsGone) + " " +
+    const Counters& c = core_.counters();
+    digest_.add(std::to_string(c.accepted) + " " + std::to_string(c.resumed) + " " +
+                std::to_string(c.served) + " " + std::to_string(c.rejected) + " " + std::to_string(c.failed) +
+                " " + std::to_string(c.deadlineExceeded) + " " + std::to_string(c.clientsDisconnected) + " " +
                 std::to_string(c.attempts) + " " + std::to_string(c.tokens) + " " +
-                std::to_string(c.continued) + " " + std::to_string(c.lateTokens) + " " +
-                std::to_string(c.guarded) + " " + std::to_string(total(core_.violations())) + " " +
-                std::to_string(core_.open()) + " " + std::to_string(core_.owed()));
+                std::to_string(c.continued) + " " + std::to_string(c.droppedTokens) + " " +
+                std::to_string(c.actionsBlocked) + " " + std::to_string(total(core_.violations())) + " " +
+                std::to_string(core_.openRequests()) + " " + std::to_string(core_.pendingObligations()));
     return digest_.text();
   }
 
@@ -152,7 +153,7 @@
     RequestKey request = 0;
     std::string id;
     int attempt = 0;
-    ServerId engine;
+    EngineId engine;
     bool reads = false;
     std::uint32_t next = 0, end = 0;
     double until = 0;
@@ -167,23 +168,23 @@
     s.seed = seed;
     s.cancelAllowed = seed % 3 != 0;
     s.probesAllowed = seed % 2 == 0;
-    s.reporting = seed % 2 == 0 ? Reporting::kProbes : Reporting::kAnswers;
+    s.loadReportSource = seed % 2 == 0 ? LoadReportSource::kProbes : LoadReportSource::kResponses;
     s.classes.resize(3, s.classes[0]);
-    s.classes[1].effect = Effect::kKeyed;
+    s.classes[1].idempotency = Idempotency::kIdempotencyKey;
     s.classes[1].dedupWindow = Duration(1.5);
-    s.classes[2].effect = Effect::kUnsafe;
-    s.classes[2].worth = 3;
+    s.classes[2].idempotency = Idempotency::kAtMostOnce;
+    s.classes[2].priorityWeight = 3;
     return s;
   }
 
   static Options optionsOf(std::uint32_t seed) {
     Options options{"n", Duration(0.05), true, {}};
     options.recovery.enabled = seed % 4 != 1;
-    options.recovery.keptPerStream = seed % 5 == 0 ? 30 : 4096;
+    options.recovery.maxBufferedBytesPerStream = seed % 5 == 0 ? 30 : 4096;
     return options;
   }
 
-  static ServerEntry entryOf(std::uint32_t id) {
+  static EngineEntry entryOf(std::uint32_t id) {
     const Role role = id <= 4 ? Role::kPrefill : id <= 8 ? Role::kDecode : Role::kMixed;
     return test::server(id, role, id % 3, id % 2);
   }
@@ -192,45 +193,45 @@
   int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint32_t>(below)); }
 
   void arrive() {
-    Arrival a;
+    NewRequest a;
     a.key = ++lastRequest_;
     if (draw(5) == 0) a.id = "client-" + std::to_string(a.key);
-    a.timeLeft = Duration(1 + draw(60) * 0.1);
-    a.untilFirstToken = draw(8) == 0;
-    a.firstTokenWithin = Duration(draw(3) == 0 ? 1.5 : 0);
+    a.timeUntilDeadline = Duration(1 + draw(60) * 0.1);
+    a.deadlineEndsAtFirstToken = draw(8) == 0;
+    a.firstTokenTimeout = Duration(draw(3) == 0 ? 1.5 : 0);
     a.classIndex = static_cast<std::size_t>(draw(3));
     a.isRetry = draw(10) == 0;
-    a.session = static_cast<std::uint64_t>(1 + draw(20));
-    a.prefix = static_cast<std::uint64_t>(draw(4));
-    auto work = std::make_shared<Work>();
+    a.sessionKey = static_cast<std::uint64_t>(1 + draw(20));
+    a.prefixKey = static_cast<std::uint64_t>(draw(4));
+    auto work = std::make_shared<RequestPayload>();
     work->prompt = "p" + std::to_string(a.key);
     work->promptTokens = static_cast<std::uint32_t>(200 + draw(3000));
-    work->prefixTokens = a.prefix == 0 ? 0 : 150;
+    work->prefixTokens = a.prefixKey == 0 ? 0 : 150;
     work->maxOutputTokens = 60;
-    a.work = work;
+    a.payload = work;
     if (draw(12) == 0) {
-      a.resumed = Resumed{"n-" + std::to_string(1 + draw(static_cast<int>(a.key))), draw(3),
-                          ServerId{static_cast<std::uint32_t>(5 + draw(4))},
-                          static_cast<std::uint32_t>(draw(9)), "t"};
+      a.resumedStream = ResumedStream{"n-" + std::to_string(1 + draw(static_cast<int>(a.key))), draw(3),
+                                      EngineId{static_cast<std::uint32_t>(5 + draw(4))},
+                                      static_cast<std::uint32_t>(draw(9)), "t"};
     }
-    core_.arrived(at(), std::move(a));
+    core_.onRequest(at(), std::move(a));
     take();
   }
 
   void changeServer() {
-    ServerEntry& entry = entries_[static_cast<std::size_t>(draw(9))];
-    const bool serves = entry.state == ServerEntry::State::kServing;
-    entry.state = !serves        ? ServerEntry::State::kServing
-                  : draw(3) == 0 ? ServerEntry::State::kGone
-                                 : ServerEntry::State::kDraining;
+    EngineEntry& entry = entries_[static_cast<std::size_t>(draw(9))];
+    const bool serves = entry.state == EngineEntry::State::kServing;
+    entry.state = !serves        ? EngineEntry::State::kServing
+                  : draw(3) == 0 ? EngineEntry::State::kRemoved
+                                 : EngineEntry::State::kDraining;
     if (!serves) entry.startedAt = Instant(Duration(now_ - 0.5));
-    core_.serverList(at(), ServerList{ServerList::Scope::kChanges, {entry}});
+    core_.onEngineListUpdate(at(), EngineListUpdate{EngineListUpdate::Scope::kDelta, {entry}});
     take();
     if (!serves) return;
     if (draw(2) == 0) {
-      core_.leaving(at(), entry.id, at() + Duration(0.8));
+      core_.onEngineShutdownNotice(at(), entry.id, at() + Duration(0.8));
     } else {
-      core_.goesAway(at(), entry.id);
+      core_.onGoAway(at(), entry.id);
     }
     take();
   }
@@ -238,16 +239,16 @@
   void disturbClient() {
     const RequestKey request = lastRequest_ - static_cast<RequestKey>(draw(8));
     if (draw(2) == 0) {
-      core_.clientGone(at(), request);
+      core_.onClientDisconnected(at(), request);
     } else {
-      core_.paused(at(), request, draw(2) == 0);
+      core_.onClientPaused(at(), request, draw(2) == 0);
     }
     take();
   }
 
   void reconfigure() {
-    settings_.nodes = 1 + draw(40);
-    settings_.pinLimit = Duration(0.4 + draw(3) * 0.2);
+    settings_.routerCount = 1 + draw(40);
+    settings_.stateLeaseLimit = Duration(0.4 + draw(3) * 0.2);
     core_.reconfigure(at(), settings_);
     take();
   }
@@ -262,8 +263,8 @@
 
   LoadReport report() {
     LoadReport load;
-    load.queued = draw(5);
-    load.memoryShare = draw(100) * 0.01;
+    load.requestsQueued = draw(5);
+    load.memoryUtilization = draw(100) * 0.01;
     return load;
   }
 
@@ -275,32 +276,33 @@
     const Outcome bad[] = {Outcome::kError,    Outcome::kReset,   Outcome::kConnectFailed,
                            Outcome::kRejected, Outcome::kTimeout, Outcome::kStateLost};
     if (luck == 0)
-      return end(due, bad[draw(6)], draw(2) == 0 ? recovery::Ending::kTold : recovery::Ending::kCalledOff);
+      return end(due, bad[draw(6)],
+                 draw(2) == 0 ? recovery::AttemptEnd::kConfirmed : recovery::AttemptEnd::kAbandoned);
     if (due.reads) {
       out_.erase(it);
-      core_.readEnded(at(), due.call, "state-" + std::to_string(due.call), draw(200), report());
+      core_.onPrefillEnded(at(), due.call, "state-" + std::to_string(due.call), draw(200), report());
       return take();
     }
-    if (due.next >= due.end) return end(due, Outcome::kOk, recovery::Ending::kTold);
+    if (due.next >= due.end) return end(due, Outcome::kOk, recovery::AttemptEnd::kConfirmed);
     std::uint32_t index = due.next;
     if (luck == 1) ++index;                  // a token is missing
     if (luck == 2 && due.next > 0) --index;  // one comes twice
     if (index == due.next) ++it->second.next;
     it->second.until = now_ + (luck == 3 ? 2.5 : 0.03 + draw(4) * 0.02);
-    core_.token(at(), due.call, index, "t" + std::to_string(index));
+    core_.onToken(at(), due.call, index, "t" + std::to_string(index));
     take();
   }
 
-  void end(const Out& due, Outcome outcome, recovery::Ending ending) {
+  void end(const Out& due, Outcome outcome, recovery::AttemptEnd ending) {
     out_.erase(due.call);
-    core_.callEnded(at(), due.call, outcome, 0, report(), "engine said " + std::to_string(draw(9)), ending);
+    core_.onCallEnded(at(), due.call, outcome, 0, report(), "engine said " + std::to_string(draw(9)), ending);
     take();
   }
 
   // Takes the core's commands into the digest and lets the engines have them.
   void take() {
     std::vector<Command> commands;
-    while (core_.takeInto(commands)) {
+    while (core_.takeCommandsInto(commands)) {
       const std::vector<Command> now = commands;
       for (const Command& command : now) {
         digest_.add(std::visit(text_, command));
@@ -311,37 +313,39 @@
 
   template <class Other>
   void carryOut(const Other&) {}
-  void carryOut(const StartRead& c) {
+  void carryOut(const StartPrefill& c) {
     const double takes = draw(12) == 0 ? 9 : 0.03 + draw(10) * 0.02;
     out_[c.call] = {c.call, c.request, c.id, c.attempt, c.engine, true, 0, 0, now_ + takes};
   }
-  void carryOut(const StartWrite& c) {
+  void carryOut(const StartDecode& c) {
     const double takes = draw(12) == 0 ? 9 : 0.03 + draw(10) * 0.02;
-    const std::uint32_t first = c.work->firstIndex;
+    const std::uint32_t first = c.payload->firstTokenIndex;
     out_[c.call] = {c.call,      c.request, c.id,  c.attempt,
                     c.engine,    false,     first, first + 3 + static_cast<std::uint32_t>(draw(25)),
                     now_ + takes};
   }
-  void carryOut(const CallOff& c) {
+  void carryOut(const CancelCall& c) {
     // What a cancelled call still says has to be passed over.
-    if (draw(4) == 0) core_.token(at(), c.call, 0, "late");
+    if (draw(4) == 0) core_.onToken(at(), c.call, 0, "late");
     out_.erase(c.call);
   }
   void carryOut(const FenceAttempt& c) {
-    if (draw(3) != 0) core_.fenced(at(), c.request, c.attempt);
+    if (draw(3) != 0) core_.onAttemptFenced(at(), c.request, c.attempt);
   }
   void carryOut(const ProbeEngine& c) {
-    core_.probeEnded(at(), c.engine, draw(6) == 0 ? Outcome::kConnectFailed : Outcome::kOk, Duration(0.004),
-                     report());
+    core_.onProbeEnded(at(), c.engine, draw(6) == 0 ? Outcome::kConnectFailed : Outcome::kOk, Duration(0.004),
+                       report());
+  }
+  void carryOut(const ReserveCapacity& c) {
+    core_.onReservationResult(at(), c.request, c.engine, draw(2) == 0);
   }
-  void carryOut(const ReserveSeat& c) { core_.seatAnswered(at(), c.request, c.engine, draw(2) == 0); }
 
   std::mt19937 random_;
   Settings settings_;
   Core core_;
   CommandText text_;
   Digest digest_;
-  std::vector<ServerEntry> entries_;
+  std::vector<EngineEntry> entries_;
   std::map<CallKey, Out> out_;
   double now_ = 1;
   RequestKey lastRequest_ = 10;
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -78,7 +78,7 @@
   template <class Done>
   bool until(const Done& done) {
     const Instant end = net::monotonicNow() + Duration(kBound);
-    while (!done() && net::monotonicNow() < end) loop.step(Duration(0.02));
+    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
     return done();
   }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -62,7 +62,7 @@
       ASSERT_TRUE(list);
       ASSERT_EQ(list->engines.size(), 1U) << field;
       EXPECT_EQ(list->engines[0].entry.id, numberOf("a")) << field;
-      EXPECT_NE(list->engines[0].entry.state, ServerEntry::State::kServing) << field;
+      EXPECT_NE(list->engines[0].entry.state, EngineEntry::State::kServing) << field;
     }
   }
 }
@@ -147,7 +147,7 @@
 TEST_F(WatchTest, ARefusalWhoseBodyNeverEndsIsNoLife) {
   changeReachesThroughASecondWatch([this](Peer& p) {
     p.send("HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkOf("\n"));
-    loop.after(Duration(0.5), [this] {
+    loop.runAfter(Duration(0.5), [this] {
       if (!discovery.peers.front()->closed) discovery.peers.front()->send(chunkOf("\n"));
     });
   });
@@ -250,7 +250,7 @@
 }
 
 TEST_F(WatchTest, ANodeThatKnowsEnginesIsReadyAndServesThoughDiscoveryIsAway) {
-  discovery.listener.refuse(true);
+  discovery.listener.rejectConnections(true);
   start();
   EXPECT_EQ(statusOf(asks(ask("by-the-known-list"))), 200);
   EXPECT_TRUE(becomesReady());
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -33,7 +33,7 @@
     return engine.count("POST", "/v1/chat/completions?x=1");
   }
   bool over() {
-    return until([&] { return node->core().owed() == 0; });
+    return until([&] { return node->core().pendingObligations() == 0; });
   }
 
  private:
@@ -44,7 +44,7 @@
 TEST_F(EdgesTest, GoneWhileItsRequestWaitsForAPick) {
   startWith("draining", "up");
   const auto peer = asks(ask("waits", "", "pay", "9000"));
-  ASSERT_TRUE(until([&] { return node->core().open() == 1; }));
+  ASSERT_TRUE(until([&] { return node->core().openRequests() == 1; }));
   peer->connection.close();
   EXPECT_TRUE(over());
   tell("up", "up");
@@ -81,7 +81,7 @@
   tell("up", "draining");
   readingAt->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
   ASSERT_TRUE(until([&] { return node->engines().open() == 0; }));
-  EXPECT_EQ(node->core().open(), 1U);  // it holds its state, and no writer may have it
+  EXPECT_EQ(node->core().openRequests(), 1U);  // it holds its state, and no writer may have it
   peer->connection.close();
   EXPECT_TRUE(over());
   EXPECT_TRUE(until([&] {
@@ -134,7 +134,7 @@
   start();
   const auto peer = asks(ask("slow"));
   ASSERT_TRUE(until([&] { return peer->has("yyy"); }));
-  peer->connection.freeze(true);
+  peer->connection.suspend(true);
   settle(0.2);
   peer->connection.abort();
   EXPECT_TRUE(over());
@@ -145,11 +145,11 @@
   startWith("draining", "up");
   const auto peer = client();
   ASSERT_TRUE(
-      until([&] { return peer->connection.connected() && node->front().server().connections() == 1; }));
+      until([&] { return peer->connection.isConnected() && node->front().server().connectionCount() == 1; }));
   peer->send(ask("and-gone"));
   peer->connection.close();
-  EXPECT_TRUE(until([&] { return node->front().server().connections() == 0; }));
-  EXPECT_EQ(node->core().counts().taken, 0U);
+  EXPECT_TRUE(until([&] { return node->front().server().connectionCount() == 0; }));
+  EXPECT_EQ(node->core().counters().accepted, 0U);
 }
 
 TEST_F(EdgesTest, AClientThatEndsItsSendingHasLeft) {
@@ -157,7 +157,7 @@
   start();
   const auto peer = asks(ask("half"));
   ASSERT_TRUE(until([&] { return attempts(reader) == 1; }));
-  peer->connection.shut();
+  peer->connection.shutdownWrite();
   EXPECT_TRUE(over());
   EXPECT_TRUE(until([&] { return peer->closed; }));
   EXPECT_EQ(peer->got, "");
@@ -185,13 +185,13 @@
   EXPECT_FALSE(peer->has("HTTP/1.1 5"));
   EXPECT_TRUE(until([&] { return done; }));
   EXPECT_EQ(attempts(reader), before);
-  EXPECT_EQ(node->core().counts().taken, 1U);
+  EXPECT_EQ(node->core().counters().accepted, 1U);
 }
 
 TEST_F(EdgesTest, AnsweredRequestsOfADrainingNodeEndTheirConnectionsOneByOne) {
   start();
   const auto fresh = client();
-  ASSERT_TRUE(until([&] { return node->front().server().connections() == 1; }));
+  ASSERT_TRUE(until([&] { return node->front().server().connectionCount() == 1; }));
   bool done = false;
   node->drain([&] { done = true; });
   fresh->send(ask("late"));
@@ -206,11 +206,11 @@
 TEST_F(EdgesTest, ANodeThatEndsLeavesNoConnectionThatWaits) {
   start();
   const auto silent = client();
-  ASSERT_TRUE(until([&] { return node->front().server().connections() == 1; }));
+  ASSERT_TRUE(until([&] { return node->front().server().connectionCount() == 1; }));
   bool done = false;
   node->drain([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(node->front().server().connections(), 0U);
+  EXPECT_EQ(node->front().server().connectionCount(), 0U);
   EXPECT_TRUE(until([&] { return silent->closed; }));
 }
 
@@ -221,7 +221,7 @@
     peer.send(kStreamHead + chunkOf(eventOf(first ? "first" : "second") + kDone) + "0\r\n\r\n");
     if (!first) return;
     const auto at = writer.peers.back();
-    loop.after(Duration(0.004), [at] {
+    loop.runAfter(Duration(0.004), [at] {
       if (!at->closed) at->send(kStreamHead + chunkOf(eventOf("stray") + kDone) + "0\r\n\r\n");
     });
   };
@@ -256,7 +256,7 @@
   for (int i = 0; i < kCommands; ++i)
     all += ask("c" + std::to_string(i), "", "chat", "4800", "{\"a\":\"" + std::string(2000, 'x') + "\"}");
   const auto peer = asks(all);  // 240 KB: more than is kept at once
-  ASSERT_TRUE(until([&] { return node->core().counts().served == kCommands; }));
+  ASSERT_TRUE(until([&] { return node->core().counters().served == kCommands; }));
   ASSERT_TRUE(until([&] {
     std::size_t ends = 0;
     for (std::size_t at = 0; (at = peer->got.find("\r\n0\r\n\r\n", at)) != std::string::npos; ++at) ++ends;
@@ -277,7 +277,7 @@
   request.replace(request.find("X-Call-Class:"), 13, "x-CALL-class:");
   for (const char c : request) {
     peer->send(std::string(1, c));
-    loop.step(Duration(0));
+    loop.runOnce(Duration(0));
   }
   EXPECT_EQ(statusOf(peer), 200);
 }
@@ -289,7 +289,7 @@
   Peer out(loop), in(loop);
   out.connection.connect({"127.0.0.1", listener.port()}, Duration(kBound));
   const Instant end = net::monotonicNow() + Duration(kBound);
-  while (accepted < 0 && net::monotonicNow() < end) loop.step(Duration(0.01));
+  while (accepted < 0 && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   ASSERT_GE(accepted, 0);
   in.connection.adopt(accepted);
   int on = 0;
@@ -324,24 +324,24 @@
     peers.push_back(std::make_unique<Peer>(loop));
     peers.back()->connection.connect({"127.0.0.1", listener.port()}, Duration(kBound));
     // The first one comes while there are descriptors: the sanitizer needs some to check a kind of object.
-    while (i == 0 && accepted.empty() && net::monotonicNow() < end) loop.step(Duration(0.01));
+    while (i == 0 && accepted.empty() && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   }
   const int spare = dup(accepted.front());
   ASSERT_GE(spare, 0);
   close(spare);
   {
     const FewDescriptors few(static_cast<rlim_t>(spare) + 2);
-    while (accepted.size() < 3 && net::monotonicNow() < end) loop.step(Duration(0.01));
+    while (accepted.size() < 3 && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
     ASSERT_EQ(accepted.size(), 3U);
     int rounds = 0;
     const Instant stop = net::monotonicNow() + Duration(0.5);
     while (net::monotonicNow() < stop) {
-      loop.step(Duration(1));
+      loop.runOnce(Duration(1));
       ++rounds;
     }
     EXPECT_LT(rounds, 40);  // woken by its own retries, ten a second, and by what connects
   }
-  while (accepted.size() < 12 && net::monotonicNow() < end) loop.step(Duration(0.01));
+  while (accepted.size() < 12 && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   EXPECT_EQ(accepted.size(), 12U);
   for (const int fd : accepted) close(fd);
 }
@@ -354,7 +354,7 @@
   for (int i = 0; i < 150; ++i) crowd.push_back(client());
   settle(0.3);
   EXPECT_EQ(statusOf(asks(ask("served"))), 200);
-  EXPECT_LE(node->front().server().connections(), 40U);
+  EXPECT_LE(node->front().server().connectionCount(), 40U);
   const std::size_t before = discovery.seen.size();
   EXPECT_TRUE(until([&] { return discovery.seen.size() > before; }));  // the watch is still tried
 }
@@ -365,8 +365,8 @@
   reader.script = [&](Peer& peer, const http1::Request& request) {
     if (released(peer, request)) return;
     if (++reads > 1) return answerRead(peer, request);
-    loop.after(Duration(0.3),
-               [&peer] { peer.send("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"); });
+    loop.runAfter(Duration(0.3),
+                  [&peer] { peer.send("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"); });
   };
   start();
   EXPECT_EQ(statusOf(asks(ask("told"))), 200);
@@ -386,7 +386,7 @@
   EXPECT_EQ(statusOf(asks(ask("a", "", "chat", "200"))), 503);
   EXPECT_EQ(statusOf(asks(ask("b", "", "pay", "200"))), 503);
   EXPECT_EQ(statusOf(asks(ask("c", "", "chat", "1"))), 503);
-  EXPECT_EQ(node->core().counts().attempts, 0U);
+  EXPECT_EQ(node->core().counters().attempts, 0U);
 }
 
 }  // namespace
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -10,21 +10,21 @@
 using namespace test;
 
 // Hears what becomes of calls and does nothing.
-struct IgnoringSink final : engines::Sink {
-  void readEnded(router::CallKey, std::string, double, std::optional<LoadReport>) override {}
-  void token(router::CallKey, std::uint32_t, std::string) override {}
-  void callEnded(router::CallKey, Outcome, double, std::optional<LoadReport>, const std::string&,
-                 recovery::Ending) override {}
-  void fenced(router::RequestKey, int) override {}
-  void goesAway(ServerId) override {}
-  void probeEnded(ServerId, Outcome, Duration, std::optional<LoadReport>) override {}
-  void seatAnswered(router::RequestKey, ServerId, bool) override {}
+struct IgnoringSink final : engines::EngineEventHandler {
+  void onPrefillEnded(router::CallKey, std::string, double, std::optional<LoadReport>) override {}
+  void onToken(router::CallKey, std::uint32_t, std::string) override {}
+  void onCallEnded(router::CallKey, Outcome, double, std::optional<LoadReport>, const std::string&,
+                   recovery::AttemptEnd) override {}
+  void onAttemptFenced(router::RequestKey, int) override {}
+  void onGoAway(EngineId) override {}
+  void onProbeEnded(EngineId, Outcome, Duration, std::optional<LoadReport>) override {}
+  void onReservationResult(router::RequestKey, EngineId, bool) override {}
 };
 
 class EndingsTest : public SteppedTest {
  protected:
   bool over() {
-    return within(1, [&] { return node->core().owed() == 0; });
+    return within(1, [&] { return node->core().pendingObligations() == 0; });
   }
   void drain() {
     node->drain([this] { ++drained; });
@@ -113,7 +113,7 @@
   reader.script = writer.script = answers;
   EXPECT_TRUE(ended());
   EXPECT_GE(releases("held"), 1U);
-  EXPECT_EQ(node->engines().smallCalls(), 0U);
+  EXPECT_EQ(node->engines().auxiliaryCalls(), 0U);
 }
 
 TEST_F(EndingsTest, ASecondSignalAndAReloadDoNotEndTwiceOrHoldUpTheEnd) {
@@ -143,11 +143,11 @@
   RawSocket late, fresh;
   ASSERT_TRUE(fresh.connect(server.port()));
   settle();
-  ASSERT_EQ(server.connections(), 1U);
+  ASSERT_EQ(server.connectionCount(), 1U);
   fresh.send("GET / HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(late.connect(server.port()));
   late.send("GET / HTTP/1.1\r\n\r\n");
-  server.end();
+  server.shutdown();
   settle();
   EXPECT_EQ(asked.size(), 2U);
   for (RawSocket* const socket : {&fresh, &late}) EXPECT_EQ(socket->receive().substr(0, 12), "HTTP/1.1 503");
@@ -161,7 +161,7 @@
       loop, {}, {}, [&](std::shared_ptr<http1::Exchange> exchange) { asked.push_back(std::move(exchange)); });
   std::vector<std::unique_ptr<RawSocket>> sockets;
   // More than may wait behind a request, so that reading is held, and less beyond it than is read in one go.
-  const std::size_t most = http1::Limits{}.ahead + net::Connection::kReadBudget / 4;
+  const std::size_t most = http1::Limits{}.maxPipelinedBytes + net::Connection::kReadBudget / 4;
   const std::string behind(most / 8, 'b');
   for (int i = 0; i < 4; ++i) {
     sockets.push_back(std::make_unique<RawSocket>());
@@ -177,8 +177,8 @@
   for (const auto& socket : sockets) socket->reset();
   deliver();
   server.drain();  // in the same turn: no event has told of the resets
-  EXPECT_EQ(server.connections(), 0U);
-  server.end();
+  EXPECT_EQ(server.connectionCount(), 0U);
+  server.shutdown();
   settle();
 }
 
@@ -191,7 +191,7 @@
   peer->connection.close();
   EXPECT_TRUE(over());
   EXPECT_EQ(node->engines().open(), 0U);
-  EXPECT_TRUE(within(4, [&] { return node->engines().smallCalls() == 0; }));
+  EXPECT_TRUE(within(4, [&] { return node->engines().auxiliaryCalls() == 0; }));
   EXPECT_EQ(attempts(writer), 0U);
 }
 
@@ -235,7 +235,7 @@
   ASSERT_GE(attempts(reader), 8U);
   const std::vector<http1::Request> sent = reader.seen;
   for (const auto& peer : peers) peer->connection.close();  // more leave at once than connections are free
-  EXPECT_TRUE(within(3, [&] { return node->engines().smallCalls() == 0; }));
+  EXPECT_TRUE(within(3, [&] { return node->engines().auxiliaryCalls() == 0; }));
   for (const auto& request : sent) {
     const std::string id = *request.fields.find("X-Call-Id");
     EXPECT_GE(releases(id), 1U) << id;
@@ -251,19 +251,19 @@
   const Configuration c = configurationOf(file());
   engines.update(*readTargets(c.known, c.names, net::WallClock(now(), 0)));
   reader.script = hold;
-  auto work = std::make_shared<router::Work>();
+  auto work = std::make_shared<router::RequestPayload>();
   work->target = "/v1/chat/completions?x=1";
   work->prompt = "{}";
-  engines.start(router::StartRead{1, 1, "taken", 0, numberOf("r1"), Duration(4), Duration(4), work});
+  engines.start(router::StartPrefill{1, 1, "taken", 0, numberOf("r1"), Duration(4), Duration(4), work});
   settle();
-  engines.letGo(router::LetGo{"later", 0, numberOf("r1")});
+  engines.releaseState(router::ReleaseState{"later", 0, numberOf("r1")});
   pass(1);
   EXPECT_EQ(releases("later"), 0U);
-  EXPECT_EQ(engines.smallCalls(), 1U);
-  engines.callOff(1);
+  EXPECT_EQ(engines.auxiliaryCalls(), 1U);
+  engines.cancelCall(1);
   pass(0.2);
   EXPECT_EQ(releases("later"), 1U);
-  EXPECT_EQ(engines.smallCalls(), 0U);
+  EXPECT_EQ(engines.auxiliaryCalls(), 0U);
 }
 
 // Most engines fall silent together, their connections stay open: a release reaches one that runs in time.
@@ -377,10 +377,10 @@
   getsockname(listener.fd(), reinterpret_cast<sockaddr*>(&address), &size);
   // The call is begun, and the loop hears that its connection stands only after some time has gone by.
   std::string told;
-  struct Sink final : http1::CallSink {
-    void head(const http1::ResponseHead&) override {}
-    void body(std::string_view) override {}
-    void end(http1::End, const std::string&) override {}
+  struct Sink final : http1::ResponseHandler {
+    void onHead(const http1::ResponseHead&) override {}
+    void onBody(std::string_view) override {}
+    void onEnd(http1::CallResult, const std::string&) override {}
   };
   http1::Client calls(loop, {});
   const Instant until = now() + Duration(1);
@@ -418,7 +418,7 @@
 // What discovery has told counts as told after 6 s, and a node that is not ready after 30 s has failed to
 // start.
 TEST_F(EndingsTest, ANodeWithoutAnyListIsReadyInTimeAndRefuses) {
-  discovery.listener.refuse(true);
+  discovery.listener.rejectConnections(true);
   start([](Json& json) { json.erase("known"); });
   pass(3);
   EXPECT_EQ(statusOf(asks("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
@@ -440,7 +440,7 @@
     settle();
   }
   EXPECT_FALSE(stream->closed);
-  EXPECT_EQ(node->core().open(), 1U);
+  EXPECT_EQ(node->core().openRequests(), 1U);
   EXPECT_EQ(node->engines().open(), 1U);
   writing().send(chunkOf(kDone) + "0\r\n\r\n");
   EXPECT_TRUE(within(1, [&] { return stream->has("0\r\n\r\n"); }));
@@ -469,14 +469,14 @@
   Engines engines(loop, {}, sink);
   const Configuration c = configurationOf(file());
   engines.update(*readTargets(c.known, c.names, net::WallClock(now(), 0)));
-  auto work = std::make_shared<router::Work>();
+  auto work = std::make_shared<router::RequestPayload>();
   work->target = "/v1/chat/completions?x=1";
   work->prompt = "{}";
-  engines.start(router::StartRead{1, 1, "opens", 0, numberOf("r1"), Duration(2), Duration(2), work});
+  engines.start(router::StartPrefill{1, 1, "opens", 0, numberOf("r1"), Duration(2), Duration(2), work});
   pass(0.2);  // its connection may be used again
   loop.defer([&] {
     holdUp(0.4);
-    engines.start(router::StartRead{2, 2, "held-up", 0, numberOf("r1"), Duration(2), Duration(2), work});
+    engines.start(router::StartPrefill{2, 2, "held-up", 0, numberOf("r1"), Duration(2), Duration(2), work});
   });
   settle();
   EXPECT_EQ(reader.peers.size(), 1U);
@@ -485,7 +485,7 @@
 }
 
 TEST_F(EndingsTest, AKnownListThatCannotBeReadLeavesRequestsToBeRefusedInTime) {
-  discovery.listener.refuse(true);
+  discovery.listener.rejectConnections(true);
   start([](Json& json) { json["known"] = {{"index", "x"}, {"endpoints", 5}}; });
   const auto refused = asks(ask("no-list"));
   pass(1.5);
@@ -516,7 +516,7 @@
   std::vector<std::shared_ptr<Peer>> peers;
   for (int i = 0; i < 40; ++i) peers.push_back(asks(ask("o" + std::to_string(i))));
   settle();
-  ASSERT_EQ(node->core().open(), 40U);
+  ASSERT_EQ(node->core().openRequests(), 40U);
   node.reset();  // the sanitizers watch
   settle();
 }
