--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -39,9 +39,9 @@
  public:
   explicit Fleet(const FleetPlan& plan) : plan_(plan), random_(plan.seed) {
     settings_ = twoStageSettings();
-    settings_.nodes = plan.nodes;
-    settings_.coldWindow = Duration(3);
-    settings_.classes[0].aim *= plan.slower;
+    settings_.routerCount = plan.nodes;
+    settings_.slowStartWindow = Duration(3);
+    settings_.classes[0].ttftObjective *= plan.slower;
     for (int i = 0; i < 2 * plan.engines; ++i) {
       entries_.push_back(server(static_cast<std::uint32_t>(100 + i),
                                 i % 2 == 0 ? Role::kPrefill : Role::kDecode,
@@ -85,7 +85,7 @@
         continue;
       }
       const double late = std::uniform_real_distribution<double>(0, 0.5)(random_);
-      after(late, [this, n] { feed(n, ServerList{ServerList::Scope::kFull, entries_}); });
+      after(late, [this, n] { feed(n, EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_}); });
     }
     burst_ = plan_.burst;
   }
@@ -98,14 +98,15 @@
       const auto it = sends_.find(entries_[static_cast<std::size_t>(i)].id);
       if (it == sends_.end()) continue;
       const std::deque<double>& at = it->second;
-      const double window = settings_.coldWindow.count();
+      const double window = settings_.slowStartWindow.count();
       for (std::size_t from = 0, to = 0; to < at.size(); ++to) {
         while (at[to] - at[from] > window) ++from;
         const double age = at[from] - coldFrom_;
-        if (age < 0 || age > settings_.coldWarmAfter.count()) continue;
-        const double able = settings_.coldStartCapacity +
-                            (1 - settings_.coldStartCapacity) * age / settings_.coldWarmAfter.count();
-        const double n = settings_.coldOverloadFactor * able * plan_.capacity * window;
+        if (age < 0 || age > settings_.slowStartDuration.count()) continue;
+        const double able = settings_.slowStartInitialCapacity + (1 - settings_.slowStartInitialCapacity) *
+                                                                     age /
+                                                                     settings_.slowStartDuration.count();
+        const double n = settings_.slowStartOverloadFactor * able * plan_.capacity * window;
         worst = std::max(worst, static_cast<double>(to - from + 1) / (n + 2 * std::sqrt(n) + 2));
       }
     }
@@ -114,7 +115,7 @@
   // From now on this many engines of a role say nothing to what they are sent; 0 = all speak again.
   void silence(Role role, int count) {
     silent_.clear();
-    for (const ServerEntry& e : entries_) {
+    for (const EngineEntry& e : entries_) {
       if (e.role == role && count-- > 0) silent_.insert(e.id);
     }
   }
@@ -166,7 +167,7 @@
     mine.seed = plan_.seed * 1000 + at * 7 + static_cast<std::uint64_t>(nodes_[at].life) * 104729;
     nodes_[at].policy = std::make_unique<Policy>(mine);
     ++nodes_[at].life;
-    feed(n, ServerList{ServerList::Scope::kFull, entries_});
+    feed(n, EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_});
   }
 
   void nextArrival(int n) {
@@ -174,13 +175,13 @@
     after(std::exponential_distribution<double>(rate)(random_), [this, n] {
       RequestArrived ask;
       ask.id.value = "q" + std::to_string(++requests_);
-      ask.timeLeft = Duration(4 * plan_.slower);
-      ask.session = plan_.sessions > 0 ? 1 + random_() % static_cast<unsigned>(plan_.sessions) : random_();
-      ask.prefix = 1 + random_() % 12;
+      ask.timeUntilDeadline = Duration(4 * plan_.slower);
+      ask.sessionKey = plan_.sessions > 0 ? 1 + random_() % static_cast<unsigned>(plan_.sessions) : random_();
+      ask.prefixKey = 1 + random_() % 12;
       ask.prefixTokens = kShared * plan_.longer;
       ask.promptTokens = kPrompt * plan_.longer * promptFactor();
       ask.maxOutputTokens = 100;
-      asked_[ask.id.value] = {n, now_, ask.promptTokens, ask.session, false};
+      asked_[ask.id.value] = {n, now_, ask.promptTokens, ask.sessionKey, false};
       feed(n, ask);
       nextArrival(n);
     });
@@ -198,14 +199,14 @@
     std::vector<Action> actions;
     node.policy->handle(Instant(Duration(now_)), event, actions);
     for (const Action& action : actions) {
-      if (const auto* const send = std::get_if<Send>(&action)) carryOut(n, *send);
-      if (const auto* const cancel = std::get_if<Cancel>(&action))
+      if (const auto* const send = std::get_if<StartAttempt>(&action)) carryOut(n, *send);
+      if (const auto* const cancel = std::get_if<CancelAttempt>(&action))
         end(n, cancel->id, cancel->attempt, Outcome::kCancelled);
-      if (const auto* const refused = std::get_if<Refuse>(&action)) answer(refused->id, false);
-      if (const auto* const failed = std::get_if<Fail>(&action)) answer(failed->id, false);
+      if (const auto* const refused = std::get_if<RejectRequest>(&action)) answer(refused->id, false);
+      if (const auto* const failed = std::get_if<FailRequest>(&action)) answer(failed->id, false);
       if (const auto* const timer = std::get_if<SetTimer>(&action)) {
         later(n, std::max(0.0, timer->at.time_since_epoch().count() - now_),
-              [this, n, token = timer->token] { feed(n, TimerFired{token}); });
+              [this, n, token = timer->timer] { feed(n, TimerFired{token}); });
       }
     }
   }
@@ -217,31 +218,31 @@
     });
   }
 
-  void carryOut(int n, const Send& send) {
-    sends_[send.server].push_back(now_);
+  void carryOut(int n, const StartAttempt& send) {
+    sends_[send.engine].push_back(now_);
     const int attempt = attempts_[send.id.value]++;
-    out_[{send.id.value, attempt}] = {send.server, now_};
+    out_[{send.id.value, attempt}] = {send.engine, now_};
     later(n, send.timeout.count(), [=, this] { end(n, send.id, attempt, Outcome::kTimeout); });
-    if (silent_.count(send.server) > 0) return;
-    if (send.server.value % 2 == 0) {
+    if (silent_.count(send.engine) > 0) return;
+    if (send.engine.value % 2 == 0) {
       return later(n, readTime(send), [=, this] { end(n, send.id, attempt, Outcome::kPrefilled); });
     }
     later(n, 0.05 * plan_.slower, [=, this] {
       const auto it = out_.find({send.id.value, attempt});
       if (it == out_.end()) return;
       it->second.streams = true;  // its time-out is over
-      feed(n, StreamStarted{send.id, attempt, send.server, Duration(0.05 * plan_.slower)});
+      feed(n, StreamStarted{send.id, attempt, send.engine, Duration(0.05 * plan_.slower)});
     });
     later(n, plan_.slower, [=, this] { end(n, send.id, attempt, Outcome::kOk); });
   }
 
-  double readTime(const Send& send) {
+  double readTime(const StartAttempt& send) {
     if (!plan_.readersQueue) return 0.08 * plan_.slower;
     const auto asked = asked_.find(send.id.value);
     const double prompt = asked == asked_.end() ? 0 : asked->second.prompt;
     const double fresh = std::max(0.0, prompt - kKept * plan_.longer);
     const double usual = (kPrompt - kKept) * plan_.longer;
-    double& busyUntil = busyUntil_[send.server];
+    double& busyUntil = busyUntil_[send.engine];
     busyUntil = std::max(busyUntil, now_) + fresh / usual / plan_.capacity;
     return busyUntil - now_;
   }
@@ -269,7 +270,7 @@
   }
 
   struct Out {
-    ServerId server;
+    EngineId server;
     double sentAt = 0;
     bool streams = false;
   };
@@ -277,19 +278,19 @@
   static constexpr double kPrompt = 1000, kShared = 400, kKept = 300;  // tokens: mean, shared, found kept
   std::map<std::string, Ended> asked_;                                 // open requests
   std::vector<Ended> ended_;
-  std::map<ServerId, double> busyUntil_;  // of readers that queue
-  std::set<ServerId> silent_;
+  std::map<EngineId, double> busyUntil_;  // of readers that queue
+  std::set<EngineId> silent_;
   std::size_t served_ = 0, refused_ = 0;
   double slowestAnswer_ = 0;
 
   FleetPlan plan_;
   std::mt19937_64 random_;
   Settings settings_;
-  std::vector<ServerEntry> entries_;
+  std::vector<EngineEntry> entries_;
   std::vector<Node> nodes_;
   std::vector<double> weights_, rates_;
   std::priority_queue<Due> queue_;
-  std::map<ServerId, std::deque<double>> sends_;
+  std::map<EngineId, std::deque<double>> sends_;
   std::map<std::string, int> attempts_;
   std::uint64_t order_ = 0, requests_ = 0;
   double now_ = 0, burst_ = 1, coldFrom_ = 0;
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -34,7 +34,7 @@
   template <class Done>
   bool until(const Done& done, double bound = kBound) {
     const Instant end = net::monotonicNow() + Duration(bound);
-    while (!done() && net::monotonicNow() < end) loop.step(Duration(0.02));
+    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
     return done();
   }
 
@@ -106,7 +106,7 @@
 TEST_F(FrameTest, TakesOneByteAtATime) {
   for (const char c : kPreface + request(1, frame("slowly"))) {
     raw->write(std::string(1, c));
-    loop.step(Duration(0));
+    loop.runOnce(Duration(0));
   }
   EXPECT_EQ(statusOn(1), Code::kOk);
   EXPECT_EQ(said, std::vector<std::string>{"slowly"});
@@ -197,7 +197,7 @@
   raw->write(kPreface + frameOf(kHeaders, 0, 1, fields(requestHeaders())));
   for (int i = 0; i < 100 && !raw->closed(); ++i) {
     raw->write(frameOf(kContinuation, 0, 1, fields({{"more", std::string(1000, 'm')}})));
-    loop.step(Duration(0));
+    loop.runOnce(Duration(0));
   }
   EXPECT_TRUE(until([&] { return raw->closed(); }));
   EXPECT_TRUE(until([&] { return server.connections() == 0; }));
@@ -214,7 +214,7 @@
   ASSERT_TRUE(until([&] { return held != nullptr; }));
   raw->write(frameOf(kReset, 0, 1, number(http2::kCancel, 4)));
   EXPECT_TRUE(until([&] { return cancelled; }));
-  EXPECT_FALSE(held->open());
+  EXPECT_FALSE(held->isOpen());
   held->send("into the void");
   held->finish({});
 }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -11,27 +11,27 @@
 inline Settings twoStageSettings() {
   Settings s;
   s.seed = 7;
-  s.nodes = 1;
+  s.routerCount = 1;
   ClassSettings c;
-  c.aim = Duration(1);
-  c.tokenAim = Duration(0.05);
-  c.lateWorth = 0.2;
+  c.ttftObjective = Duration(1);
+  c.interTokenObjective = Duration(0.05);
+  c.lateWeight = 0.2;
   s.classes = {c};
   s.cancelAllowed = true;
-  s.retryAfterHeeded = true;
+  s.clientsHonorRetryAfter = true;
   s.maxAttempts = 6;
   s.maxRetryAfter = Duration(1);
-  s.pinLimit = Duration(0.5);
+  s.stateLeaseLimit = Duration(0.5);
   s.tick = Duration(0.004);
-  s.coldWindow = Duration(2);
-  s.coldOverloadFactor = 2.5;
-  s.coldStartCapacity = 0.3;
-  s.coldWarmAfter = Duration(10);
+  s.slowStartWindow = Duration(2);
+  s.slowStartOverloadFactor = 2.5;
+  s.slowStartInitialCapacity = 0.3;
+  s.slowStartDuration = Duration(10);
   return s;
 }
 
-inline ServerEntry server(std::uint32_t id, Role role, std::uint32_t cell = 0, std::uint32_t zone = 0) {
-  ServerEntry e;
+inline EngineEntry server(std::uint32_t id, Role role, std::uint32_t cell = 0, std::uint32_t zone = 0) {
+  EngineEntry e;
   e.id = {id};
   e.role = role;
   e.cell = cell;
@@ -52,15 +52,15 @@
     return last;
   }
 
-  std::vector<Action>& list(double at, std::vector<ServerEntry> entries,
-                            ServerList::Scope scope = ServerList::Scope::kFull) {
-    return feed(at, ServerList{scope, std::move(entries)});
+  std::vector<Action>& list(double at, std::vector<EngineEntry> entries,
+                            EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot) {
+    return feed(at, EngineListUpdate{scope, std::move(entries)});
   }
 
   std::vector<Action>& request(double at, const std::string& id, double prompt = 1000, double timeLeft = 4) {
     RequestArrived r;
     r.id = {id};
-    r.timeLeft = Duration(timeLeft);
+    r.timeUntilDeadline = Duration(timeLeft);
     r.promptTokens = prompt;
     r.maxOutputTokens = 300;
     return feed(at, r);
@@ -70,10 +70,10 @@
                              bool over = false, double kept = 0) {
     AttemptEnded e;
     e.id = {id};
-    e.server = {serverId};
+    e.engine = {serverId};
     e.outcome = outcome;
-    e.requestOver = over;
-    e.keptTokens = kept;
+    e.requestFinished = over;
+    e.cachedTokens = kept;
     e.elapsed = Duration(0.05);
     return feed(at, e);
   }
@@ -110,8 +110,8 @@
 
 // The server of the single send among the actions; 0 when there is not exactly one.
 inline std::uint32_t sentTo(const std::vector<Action>& actions) {
-  const auto sends = only<Send>(actions);
-  return sends.size() == 1 ? sends[0].server.value : 0;
+  const auto sends = only<StartAttempt>(actions);
+  return sends.size() == 1 ? sends[0].engine.value : 0;
 }
 
 }  // namespace gannetcourse::test
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -11,10 +11,10 @@
 const std::string kGood =
     "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nContent-Length: 5\r\n\r\nhello";
 
-State parseAll(RequestParser& parser, const std::string& bytes, std::size_t step) {
-  State state = State::kMore;
-  for (std::size_t i = 0; i < bytes.size() && state == State::kMore; i += step) {
-    if (!parser.append(std::string_view(bytes).substr(i, step))) return State::kBad;
+ParseState parseAll(RequestParser& parser, const std::string& bytes, std::size_t step) {
+  ParseState state = ParseState::kNeedMore;
+  for (std::size_t i = 0; i < bytes.size() && state == ParseState::kNeedMore; i += step) {
+    if (!parser.append(std::string_view(bytes).substr(i, step))) return ParseState::kMalformed;
     state = parser.parse();
   }
   return state;
@@ -23,7 +23,7 @@
 TEST(RequestParser, ReadsARequestHoweverItIsCut) {
   for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kGood.size()}) {
     RequestParser parser{Limits{}};
-    ASSERT_EQ(parseAll(parser, kGood, step), State::kWhole);
+    ASSERT_EQ(parseAll(parser, kGood, step), ParseState::kComplete);
     EXPECT_EQ(parser.request().method, "POST");
     EXPECT_EQ(parser.request().target, "/v1/chat/completions?a=b");
     EXPECT_EQ(*parser.request().fields.find("x-call-id"), "1");
@@ -35,11 +35,11 @@
 TEST(RequestParser, ReadsWhatWaitsBehindARequestAsTheNext) {
   RequestParser parser{Limits{}};
   ASSERT_TRUE(parser.append(kGood + "GET /-/ready HTTP/1.1\r\n\r\n"));
-  ASSERT_EQ(parser.parse(), State::kWhole);
+  ASSERT_EQ(parser.parse(), ParseState::kComplete);
   EXPECT_EQ(parser.request().body, "hello");
   parser.next();
   EXPECT_TRUE(parser.started());
-  ASSERT_EQ(parser.parse(), State::kWhole);
+  ASSERT_EQ(parser.parse(), ParseState::kComplete);
   EXPECT_EQ(parser.request().target, "/-/ready");
   parser.next();
   EXPECT_FALSE(parser.started());
@@ -55,38 +55,40 @@
         "Transfer-Encoding: xchunked\r\n", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length : 5\r\n"}) {
     RequestParser parser{Limits{}};
-    EXPECT_EQ(parseAll(parser, start + fields + "\r\n0\r\n\r\n", 1000), State::kBad) << fields;
+    EXPECT_EQ(parseAll(parser, start + fields + "\r\n0\r\n\r\n", 1000), ParseState::kMalformed) << fields;
   }
 }
 
 TEST(RequestParser, BoundsHeadsBodiesAndWhatWaits) {
   Limits limits;
-  limits.head = 256;
-  limits.body = 100;
+  limits.maxHeadBytes = 256;
+  limits.maxBodyBytes = 100;
   RequestParser head(limits);
-  EXPECT_EQ(parseAll(head, "GET / HTTP/1.1\r\nX: " + std::string(400, 'a'), 50), State::kBad);
+  EXPECT_EQ(parseAll(head, "GET / HTTP/1.1\r\nX: " + std::string(400, 'a'), 50), ParseState::kMalformed);
   EXPECT_EQ(head.status(), 431);
   RequestParser body(limits);
-  EXPECT_EQ(parseAll(body, "POST / HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 10), State::kBad);
+  EXPECT_EQ(parseAll(body, "POST / HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 10),
+            ParseState::kMalformed);
   EXPECT_EQ(body.status(), 413);
   RequestParser chunks(limits);
   EXPECT_EQ(parseAll(chunks, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nFFFFFFFF\r\n", 10),
-            State::kBad);
+            ParseState::kMalformed);
   RequestParser ahead(limits);
-  EXPECT_FALSE(ahead.append(std::string(limits.head + limits.body + limits.ahead + 1, 'x')));
+  EXPECT_FALSE(ahead.append(
+      std::string(limits.maxHeadBytes + limits.maxBodyBytes + limits.maxPipelinedBytes + 1, 'x')));
 }
 
 struct Answer {
   int status = 0;
   std::string body;
-  State state = State::kMore;
+  ParseState state = ParseState::kNeedMore;
 };
 
 Answer answerOf(const std::string& bytes, std::size_t step, bool* reusable = nullptr) {
   Answer answer;
   ResponseParser parser(Limits{}, {[&](const ResponseHead& head) { answer.status = head.status; },
                                    [&](std::string_view body) { answer.body += body; }});
-  for (std::size_t i = 0; i < bytes.size() && answer.state == State::kMore; i += step)
+  for (std::size_t i = 0; i < bytes.size() && answer.state == ParseState::kNeedMore; i += step)
     answer.state = parser.take(std::string_view(bytes).substr(i, step));
   if (reusable != nullptr) *reusable = parser.reusable();
   return answer;
@@ -98,7 +100,7 @@
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kStream.size()}) {
     bool reusable = false;
     const Answer answer = answerOf(kStream, step, &reusable);
-    EXPECT_EQ(answer.state, State::kWhole);
+    EXPECT_EQ(answer.state, ParseState::kComplete);
     EXPECT_EQ(answer.body, "hello");
     EXPECT_TRUE(reusable) << step;
   }
@@ -108,7 +110,7 @@
   bool reusable = true;
   const std::string ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
   const Answer answer = answerOf(ahead + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
-  EXPECT_EQ(answer.state, State::kWhole);
+  EXPECT_EQ(answer.state, ParseState::kComplete);
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body, "hello");
   EXPECT_FALSE(reusable);
@@ -119,7 +121,7 @@
   for (const std::string& bytes :
        {std::string("\x01\x02noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(40000, 'y'),
         head + "zz\r\nhello\r\n", head + "3\r\nhello\r\n0\r\n\r\n", head + "BB8F1C80\r\nhello"}) {
-    EXPECT_EQ(answerOf(bytes, 100).state, State::kBad) << bytes.substr(0, 80);
+    EXPECT_EQ(answerOf(bytes, 100).state, ParseState::kMalformed) << bytes.substr(0, 80);
   }
 }
 
@@ -157,8 +159,8 @@
     for (int i = 0; i < 1 + round % 4; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     const std::size_t step = 1 + random() % 20;
     RequestParser request{Limits{}};
-    bad += parseAll(request, bytes, step) == State::kBad;
-    bad += answerOf(bytes, step).state == State::kBad;
+    bad += parseAll(request, bytes, step) == ParseState::kMalformed;
+    bad += answerOf(bytes, step).state == ParseState::kMalformed;
   }
   EXPECT_GT(bad, 3000);  // each text is at least no message of the other kind
 }
--- a/tests/independent_test.cpp
+++ b/tests/independent_test.cpp
@@ -70,7 +70,7 @@
     up.set_value(registry.address());
     double last = fabric.now();
     while (!stop_) {
-      loop.step(Duration(0.005));
+      loop.runOnce(Duration(0.005));
       const double now = fabric.now();
       two.model().speed = 0.002 / tokenTime;
       one.step(now, now - last);
--- a/tests/late_states_test.cpp
+++ b/tests/late_states_test.cpp
@@ -9,46 +9,47 @@
 
 constexpr double kPinLimit = 0.5;
 constexpr RequestKey kRequest = 7;
-constexpr ServerId kReader{1};
+constexpr EngineId kReader{1};
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
 class LateStatesTest : public ::testing::Test {
  protected:
   LateStatesTest() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
-    core.serverList(at(0), ServerList{ServerList::Scope::kFull,
-                                      {test::server(1, Role::kPrefill), test::server(2, Role::kDecode),
-                                       test::server(3, Role::kDecode)}});
-    core.take();
+    core.onEngineListUpdate(at(0),
+                            EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
+                                             {test::server(1, Role::kPrefill), test::server(2, Role::kDecode),
+                                              test::server(3, Role::kDecode)}});
+    core.takeCommands();
   }
 
   CallKey reads(double when, RequestKey key) {
-    Arrival arrival;
+    NewRequest arrival;
     arrival.key = key;
     arrival.id = "request-" + std::to_string(key);
-    arrival.timeLeft = Duration(10);
-    auto work = std::make_shared<Work>();
+    arrival.timeUntilDeadline = Duration(10);
+    auto work = std::make_shared<RequestPayload>();
     work->promptTokens = 1000;
-    arrival.work = work;
-    core.arrived(at(when), std::move(arrival));
+    arrival.payload = work;
+    core.onRequest(at(when), std::move(arrival));
     CallKey call = 0;
-    for (const Command& command : core.take()) {
-      if (const auto* const read = std::get_if<StartRead>(&command)) call = read->call;
+    for (const Command& command : core.takeCommands()) {
+      if (const auto* const read = std::get_if<StartPrefill>(&command)) call = read->call;
     }
     EXPECT_NE(call, 0U);
     return call;
   }
 
   void collect(double when) {
-    for (const Command& command : core.take()) {
-      const auto* const letGo = std::get_if<LetGo>(&command);
+    for (const Command& command : core.takeCommands()) {
+      const auto* const letGo = std::get_if<ReleaseState>(&command);
       if (letGo != nullptr && letGo->id == "request-7") releases.push_back(when);
     }
   }
 
   void runTo(double end) {
-    while (core.nextWake() && *core.nextWake() <= at(end)) {
-      const Instant when = *core.nextWake();
+    while (core.nextWakeup() && *core.nextWakeup() <= at(end)) {
+      const Instant when = *core.nextWakeup();
       core.advance(when);
       collect(when.time_since_epoch().count());
     }
@@ -67,7 +68,7 @@
 
 TEST_F(LateStatesTest, AReadThatWasGivenUpIsReleasedAgainAndAgainForAWhile) {
   reads(1, kRequest);
-  core.clientGone(at(1.1), kRequest);
+  core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
   ASSERT_EQ(releases.size(), 1U) << "at once";
   runTo(1.1 + 4);
@@ -82,10 +83,10 @@
 // Who answers what was sent later has seen the end of the connection before: one more release is enough.
 TEST_F(LateStatesTest, AnEngineThatAnswersWhatWasSentLaterHasEndedItsReads) {
   reads(1, kRequest);
-  core.clientGone(at(1.1), kRequest);
+  core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
   const CallKey later = reads(1.2, kRequest + 1);
-  core.readEnded(at(1.3), later, "state", 0, {});
+  core.onPrefillEnded(at(1.3), later, "state", 0, {});
   collect(1.3);
   runTo(1.3 + 8);
   EXPECT_EQ(releases.size(), 2U);
@@ -94,35 +95,35 @@
 TEST_F(LateStatesTest, ADrainDoesNotWaitForThem) {
   reads(1, kRequest);
   core.drain(at(1.05));
-  core.clientGone(at(1.1), kRequest);
+  core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
   EXPECT_EQ(releases.size(), 1U);
-  EXPECT_EQ(core.owed(), 0U);
+  EXPECT_EQ(core.pendingObligations(), 0U);
 }
 
 // While a later attempt of the request is out, or its state waits, a release by its name would take that
 // state.
 TEST_F(LateStatesTest, AreLeftToALaterAttemptOfTheRequest) {
   const CallKey first = reads(1, kRequest);
-  core.callEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
+  core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   CallKey second = 0;
   const auto look = [&](double when) {
-    for (const Command& command : core.take()) {
-      if (std::holds_alternative<LetGo>(command)) releases.push_back(when);
-      if (const auto* const read = std::get_if<StartRead>(&command)) second = read->call;
+    for (const Command& command : core.takeCommands()) {
+      if (std::holds_alternative<ReleaseState>(command)) releases.push_back(when);
+      if (const auto* const read = std::get_if<StartPrefill>(&command)) second = read->call;
     }
   };
   look(1.1);
   ASSERT_NE(second, 0U) << "it is sent again at once";
-  while (core.nextWake() && *core.nextWake() < at(1.4)) {
-    const Instant when = *core.nextWake();
+  while (core.nextWakeup() && *core.nextWakeup() < at(1.4)) {
+    const Instant when = *core.nextWakeup();
     core.advance(when);
     look(when.time_since_epoch().count());
   }
-  core.readEnded(at(1.4), second, "state", 0, {});
+  core.onPrefillEnded(at(1.4), second, "state", 0, {});
   look(1.4);
   EXPECT_EQ(releases, std::vector<double>{});
-  core.clientGone(at(1.5), kRequest);
+  core.onClientDisconnected(at(1.5), kRequest);
   look(1.5);
   EXPECT_GE(releases.size(), 1U);
 }
@@ -130,7 +131,7 @@
 // ... but the later attempt may not have arrived: then nothing stops the time of what the first one has left.
 TEST_F(LateStatesTest, AreNotPutOffForLongerThanTheLimitAllows) {
   const CallKey first = reads(1, kRequest);
-  core.callEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
+  core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   collect(1.1);
   ASSERT_EQ(releases.size(), 0U);
   runTo(1.1 + kPinLimit);
@@ -140,13 +141,13 @@
 // An error may have been a late second answer to an earlier call on that connection, and the read may go on:
 // its state is let go of once the request is over, again and again, and not under a later attempt.
 TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsLetGoOfAtTheEnd) {
-  ServerList drains{ServerList::Scope::kChanges, {test::server(1, Role::kPrefill)}};
-  drains.entries.front().state = ServerEntry::State::kDraining;
+  EngineListUpdate drains{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
+  drains.entries.front().state = EngineEntry::State::kDraining;
   const CallKey first = reads(1, kRequest);
-  core.serverList(at(1.05), drains);
-  core.callEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
+  core.onEngineListUpdate(at(1.05), drains);
+  core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   collect(1.1);
-  core.clientGone(at(1.2), kRequest);
+  core.onClientDisconnected(at(1.2), kRequest);
   collect(1.2);
   runTo(4);
   EXPECT_GE(releases.size(), 4U);
@@ -155,33 +156,33 @@
 
 TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsForgottenWithTheFirstToken) {
   const CallKey first = reads(1, kRequest);
-  core.callEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
+  core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey read = 0, write = 0;
   const auto look = [&](double when) {
-    for (const Command& command : core.take()) {
-      if (std::holds_alternative<LetGo>(command)) releases.push_back(when);
-      if (const auto* const sent = std::get_if<StartRead>(&command)) read = sent->call;
-      if (const auto* const sent = std::get_if<StartWrite>(&command)) write = sent->call;
+    for (const Command& command : core.takeCommands()) {
+      if (std::holds_alternative<ReleaseState>(command)) releases.push_back(when);
+      if (const auto* const sent = std::get_if<StartPrefill>(&command)) read = sent->call;
+      if (const auto* const sent = std::get_if<StartDecode>(&command)) write = sent->call;
     }
   };
   look(1.1);
-  core.readEnded(at(1.2), read, "state", 0, {});
+  core.onPrefillEnded(at(1.2), read, "state", 0, {});
   look(1.2);
-  core.token(at(1.3), write, 0, "a");
+  core.onToken(at(1.3), write, 0, "a");
   look(1.3);
-  core.callEnded(at(1.4), write, Outcome::kOk, 0, {}, "");
+  core.onCallEnded(at(1.4), write, Outcome::kOk, 0, {}, "");
   look(1.4);
   runTo(4);
-  EXPECT_EQ(core.owed(), 0U);
+  EXPECT_EQ(core.pendingObligations(), 0U);
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
 TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsNotLetGoOfUnderALaterAttempt) {
   const CallKey first = reads(1, kRequest);
-  core.callEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
+  core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey second = 0;
-  for (const Command& command : core.take()) {
-    if (const auto* const read = std::get_if<StartRead>(&command)) second = read->call;
+  for (const Command& command : core.takeCommands()) {
+    if (const auto* const read = std::get_if<StartPrefill>(&command)) second = read->call;
   }
   ASSERT_NE(second, 0U) << "it is sent again at once";
   runTo(1.1 + 0.95 * kPinLimit);  // past where others are put off to, before the second is called off
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -16,9 +16,9 @@
     r.pinLimit = 1;
     r.allowance = 0.1;
     AuditRules::Class safe, unsafe, keyed;
-    unsafe.effect = Effect::kUnsafe;
-    keyed.effect = Effect::kKeyed;
-    keyed.group = DedupGroup::kCell;
+    unsafe.effect = Idempotency::kAtMostOnce;
+    keyed.effect = Idempotency::kIdempotencyKey;
+    keyed.group = DedupScope::kCell;
     keyed.dedupWindow = 5;
     r.classes = {safe, unsafe, keyed};
     return r;
--- a/tests/long_turns_test.cpp
+++ b/tests/long_turns_test.cpp
@@ -81,8 +81,8 @@
   readsEndTogether([this] { holdUp(0.5); });
   pass(0.05);
   EXPECT_TRUE(otherWasSent());
-  EXPECT_TRUE(within(1, [&] { return node->core().owed() == 0; }));
-  EXPECT_EQ(node->core().counts().served, 4U) << "the two that opened the connections as well";
+  EXPECT_TRUE(within(1, [&] { return node->core().pendingObligations() == 0; }));
+  EXPECT_EQ(node->core().counters().served, 4U) << "the two that opened the connections as well";
 }
 
 TEST_F(LongTurnsTest, NothingIsSentToAnEngineWhoseDrainHasComeMeanwhile) {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -97,7 +97,7 @@
   std::optional<grpc::CallEnd> end;
   int ends = 0;
   bool ended(grpc::Code code) const {
-    return end && end->how == grpc::CallEnd::How::kStatus && end->status.code == code;
+    return end && end->kind == grpc::CallEnd::Kind::kStatus && end->status.code == code;
   }
   std::string verdict() const {
     const std::string* told = end ? http2::find(end->trailers, "gannetcourse-verdict") : nullptr;
@@ -179,7 +179,7 @@
   template <class Done>
   bool until(const Done& done, double bound = kBound) {
     const Instant end = net::monotonicNow() + Duration(bound);
-    while (!done() && net::monotonicNow() < end) loop.step(Duration(0.05));
+    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.05));
     return done();
   }
   void settle(double seconds = 0.3) {
@@ -205,7 +205,7 @@
   settle();
   EXPECT_EQ(reader.reads, 1);
   EXPECT_EQ(writer.writes, 1);
-  EXPECT_EQ(node->core().owed(), 0u);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
 TEST_F(NodeTest, NamesTheFieldThatIsWrong) {
@@ -240,7 +240,7 @@
   ASSERT_TRUE(until([&] { return past->end.has_value(); }));
   EXPECT_TRUE(past->ended(grpc::Code::kDeadlineExceeded));
   EXPECT_EQ(reader.reads, 0);
-  EXPECT_EQ(node->core().counts().taken, 0u) << "what is wrong is not taken";
+  EXPECT_EQ(node->core().counters().accepted, 0u) << "what is wrong is not taken";
 }
 
 TEST_F(NodeTest, AWriterThatGoesSilentMidStreamIsEndedInTime) {
@@ -253,7 +253,7 @@
   EXPECT_GE((net::monotonicNow() - from).count(), 1.0) << "not before its time";
   EXPECT_EQ(asked->tokens.size(), 1u);
   EXPECT_TRUE(until([&] { return writer.cancelled == 1; })) << "the engine's call is called off";
-  EXPECT_EQ(node->core().owed(), 0u);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
 TEST_F(NodeTest, AClientThatCancelsWhileAFurtherAttemptIsPending) {
@@ -270,7 +270,7 @@
   settle();
   EXPECT_EQ(reader.reads, 2) << "nothing is sent for it after";
   EXPECT_EQ(asked->ends, 1);
-  EXPECT_EQ(node->core().owed(), 0u);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
 // No writer takes the state, and its reader does not take the release at once.
@@ -299,7 +299,7 @@
   ScriptedEngine::answerRead(held);
   settle();
   EXPECT_EQ(writer.writes, 0);
-  EXPECT_EQ(node->core().owed(), 0u);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
 TEST_F(NodeTest, AConnectionThatBreaksBetweenRequestAndFirstAnswer) {
@@ -468,7 +468,7 @@
   ASSERT_TRUE(until([&] { return held.size() == 1; }));
 
   node->reload(config::parseSettings(movedText(fleet), "moved.xml"));
-  EXPECT_EQ(node->core().open(), 1u) << "what was taken stays taken";
+  EXPECT_EQ(node->core().openRequests(), 1u) << "what was taken stays taken";
   held[0]->finish(
       {grpc::Code::kInternal, "broke"});  // it may have run: under its old class it must not run again
   ASSERT_TRUE(until([&] { return taken->end.has_value(); }));
@@ -499,7 +499,7 @@
   ASSERT_TRUE(until([&] { return asked->end.has_value(); }));
   EXPECT_TRUE(asked->ended(grpc::Code::kOk));
   EXPECT_EQ(node->settings().classes.size(), 4u) << "query and order found their old places";
-  EXPECT_EQ(node->core().open(), 0u);
+  EXPECT_EQ(node->core().openRequests(), 0u);
   for (const auto& one : {taken, booked, underWay, asked}) EXPECT_EQ(one->ends, 1);
 }
 
@@ -536,9 +536,9 @@
     request.set_request_class(moved ? (i % 2 ? "booking" : "order") : (i % 2 ? "query" : "order"));
     if (moved ? i % 2 == 1 : i % 2 == 0) unsafe.insert(i);
     asked.push_back(ask(request, Duration(20)));
-    loop.step(Duration(0.005));
+    loop.runOnce(Duration(0.005));
     if (i % 10 != 9) continue;
-    ASSERT_TRUE(until([&] { return node->core().counts().taken == i; }));
+    ASSERT_TRUE(until([&] { return node->core().counters().accepted == i; }));
     config::NodeSettings broken = files[0];
     broken.name = "other";
     EXPECT_THROW(node->reload(broken), std::invalid_argument);
@@ -559,8 +559,8 @@
   }
   EXPECT_FALSE(unsafe.empty());
   for (const std::uint64_t seed : unsafe) EXPECT_LE(runs[seed], 1) << "request " << seed;
-  EXPECT_GT(node->core().counts().served, 20u);
-  EXPECT_EQ(node->core().owed(), 0u);
+  EXPECT_GT(node->core().counters().served, 20u);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
 TEST_F(NodeTest, AMoveThatCannotBeTakenInServiceChangesNothing) {
@@ -568,7 +568,7 @@
   const std::string fleet = "<fleet file='" + (folder / "nowhere.xml").string() + "'/>";
   EXPECT_THROW(node->reload(config::parseSettings(movedText(fleet), "moved.xml")), config::Faults);
   EXPECT_EQ(node->settings().classes.size(), 2u);
-  EXPECT_EQ(node->settings().policy.nodes, 1);
+  EXPECT_EQ(node->settings().policy.routerCount, 1);
   const auto asked = ask();
   ASSERT_TRUE(until([&] { return asked->end.has_value(); }));
   EXPECT_TRUE(asked->ended(grpc::Code::kOk));
@@ -595,7 +595,7 @@
   ASSERT_TRUE(until([&] { return slow != nullptr; }));
   settle(0.5);
   // The engine still holds most of it: the node took its buffer, a window of each side, and no more.
-  EXPECT_GT(slow->pending(), 500000u - 8 * 1024 - 8 * 1024 - 4096 - 20000);
+  EXPECT_GT(slow->pendingBytes(), 500000u - 8 * 1024 - 8 * 1024 - 4096 - 20000);
   const auto quick = ask();
   ASSERT_TRUE(until([&] { return quick->end.has_value(); }));
   EXPECT_TRUE(quick->ended(grpc::Code::kOk));
@@ -627,14 +627,14 @@
   asked->call->pause(true);
   ASSERT_TRUE(until([&] { return !writes.empty(); }));
   settle(0.4);
-  const std::size_t held = writes.front()->pending();
+  const std::size_t held = writes.front()->pendingBytes();
   EXPECT_GT(held, 10000u) << "its node has taken a buffer's worth and no more";
   writer.server.abortAll();
   other.server.abortAll();
   ASSERT_TRUE(until([&] { return writes.size() == 2; }));
   settle(0.4);
   EXPECT_GT(from[1], 0u);
-  EXPECT_GT(writes[1]->pending(), 1000u) << "the buffer is full still: the next writer waits as well";
+  EXPECT_GT(writes[1]->pendingBytes(), 1000u) << "the buffer is full still: the next writer waits as well";
   asked->call->pause(false);
   ASSERT_TRUE(until([&] { return asked->end.has_value(); }));
   EXPECT_TRUE(asked->ended(grpc::Code::kOk)) << asked->end->status.message;
@@ -886,7 +886,7 @@
     const linger now{1, i % 3 == 0 ? 0 : 1};
     if (i % 3 == 0) setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close(fd);
-    if (i % 50 == 0) loop.step(Duration(0));
+    if (i % 50 == 0) loop.runOnce(Duration(0));
   }
   settle();
   const auto asked = ask();
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -53,7 +53,7 @@
         discovery(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); }) {}
   ~PlatformTest() override {
     node.reset();
-    loop.step(Duration(0));
+    loop.runOnce(Duration(0));
   }
 
   static bool released(Peer& peer, const http1::Request& request) {
@@ -114,13 +114,13 @@
     const Instant end = net::monotonicNow() + Duration(kBound);
     while (!done()) {
       if (net::monotonicNow() > end) return false;
-      loop.step(Duration(0.01));
+      loop.runOnce(Duration(0.01));
     }
     return true;
   }
   void settle(double seconds) {
     const Instant end = net::monotonicNow() + Duration(seconds);
-    while (net::monotonicNow() < end) loop.step(Duration(0.01));
+    while (net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   }
   std::shared_ptr<Peer> client() {
     auto peer = std::make_shared<Peer>(loop);
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -69,7 +69,7 @@
     const auto parser = std::make_shared<http1::RequestParser>(http1::Limits{});
     peer->onGot = [this, peer, parser] {
       parser->append(std::exchange(peer->got, {}));
-      while (parser->parse() == http1::State::kWhole) {
+      while (parser->parse() == http1::ParseState::kComplete) {
         seen.push_back(parser->request());
         const http1::Request request = std::move(parser->request());
         parser->next();
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -18,7 +18,7 @@
     std::string body;
     http1::ResponseParser parser(
         http1::Limits{}, {[](const http1::ResponseHead&) {}, [&](std::string_view bytes) { body += bytes; }});
-    EXPECT_EQ(parser.take(peer->got), http1::State::kWhole);
+    EXPECT_EQ(parser.take(peer->got), http1::ParseState::kComplete);
     EXPECT_EQ(body, eventOf("a") + eventOf("b") + kDone);
     ASSERT_TRUE(until([&] { return node->engines().idleConnections() == 2; }));
   }
@@ -31,7 +31,7 @@
     EXPECT_EQ(*engine->seen[0].fields.find("X-Call-Id"), "one");
     EXPECT_GT(std::stoi(*engine->seen[0].fields.find("X-Budget-Ms")), 0);
   }
-  EXPECT_EQ(node->core().counts().served, 2U);
+  EXPECT_EQ(node->core().counters().served, 2U);
 }
 
 TEST_F(PlatformTest, EachKindOfBadClientGetsAnErrorAndEnginesHearNothing) {
@@ -58,7 +58,7 @@
     EXPECT_TRUE(until([&] { return peer->closed; }));
   }
   EXPECT_TRUE(reader.seen.empty());
-  EXPECT_EQ(node->core().counts().taken, 0U);
+  EXPECT_EQ(node->core().counters().accepted, 0U);
   const auto good = asks(ask("good"));
   EXPECT_EQ(statusOf(good), 200);
 }
@@ -111,7 +111,7 @@
   for (int i = 0; i < 200; ++i) crowd.push_back(client());
   settle(0.05);
   EXPECT_EQ(statusOf(asks(ask("good"))), 200);
-  EXPECT_LE(node->front().server().connections(), boundsOf(configurationOf(file())).clientConnections);
+  EXPECT_LE(node->front().server().connectionCount(), boundsOf(configurationOf(file())).clientConnections);
 }
 
 TEST_F(PlatformTest, PastItsBoundOfOpenRequestsTheNodeRefusesWithAdvice) {
@@ -138,10 +138,10 @@
   EXPECT_EQ(outcomeOf(504, true, true), Outcome::kRejected);
   EXPECT_EQ(outcomeOf(503, false, false), Outcome::kError);  // it may have run
   EXPECT_EQ(outcomeOf(410, true, false), Outcome::kStateLost);
-  EXPECT_EQ(outcomeOf(http1::End::kNotConnected), Outcome::kConnectFailed);
-  EXPECT_EQ(outcomeOf(http1::End::kBroken), Outcome::kReset);
-  EXPECT_EQ(outcomeOf(http1::End::kSpoilt), Outcome::kError);
-  EXPECT_EQ(outcomeOf(http1::End::kNoRoom), Outcome::kNotSent);
+  EXPECT_EQ(outcomeOf(http1::CallResult::kNotConnected), Outcome::kConnectFailed);
+  EXPECT_EQ(outcomeOf(http1::CallResult::kConnectionLost), Outcome::kReset);
+  EXPECT_EQ(outcomeOf(http1::CallResult::kMalformed), Outcome::kError);
+  EXPECT_EQ(outcomeOf(http1::CallResult::kNoConnectionAvailable), Outcome::kNotSent);
 }
 
 TEST_F(PlatformTest, AnAttemptThatFailsBeforeItsFirstEventIsFollowedByAnother) {
@@ -162,7 +162,7 @@
     const auto peer = asks(ask("again"));
     EXPECT_TRUE(until([&] { return peer->has("0\r\n\r\n"); })) << answer;
     EXPECT_EQ(statusOf(peer), 200);
-    EXPECT_GE(node->core().counts().attempts, 3U);
+    EXPECT_GE(node->core().counters().attempts, 3U);
     node.reset();
   }
 }
@@ -221,7 +221,8 @@
     return reader.count("DELETE", "/kv/leases/left") + writer.count("DELETE", "/kv/leases/left") == 1;
   }));
   EXPECT_TRUE(until([&] { return writer.peers.front()->closed && node->engines().open() == 0; }));
-  EXPECT_TRUE(until([&] { return node->core().owed() == 0 && node->engines().smallCalls() == 0; }));
+  EXPECT_TRUE(
+      until([&] { return node->core().pendingObligations() == 0 && node->engines().auxiliaryCalls() == 0; }));
 }
 
 TEST_F(PlatformTest, AReadWhoseConnectionBreaksIsLetGo) {
@@ -364,22 +365,22 @@
   ASSERT_TRUE(until([&] {
     return std::all_of(peers.begin(), peers.end(), [](const auto& p) { return p->has("\"a\""); });
   }));
-  EXPECT_EQ(node->core().open(), 12U);
+  EXPECT_EQ(node->core().openRequests(), 12U);
   EXPECT_EQ(node->engines().openByEngine().at(numberOf("w1")), 12U);
   for (std::size_t i = 0; i < 6; ++i) peers[i]->connection.close();
-  EXPECT_TRUE(until([&] { return node->core().owed() == 6 && node->engines().open() == 6; }));
-  EXPECT_EQ(node->core().counts().guarded, 0U);
+  EXPECT_TRUE(until([&] { return node->core().pendingObligations() == 6 && node->engines().open() == 6; }));
+  EXPECT_EQ(node->core().counters().actionsBlocked, 0U);
 }
 
 TEST_F(PlatformTest, AConfigurationIsReadOrRefusedInOneLine) {
   const Configuration c = configurationOf(file());
   EXPECT_EQ(c.policy.seed, 0x92094eb940cf389aU);
   ASSERT_EQ(c.policy.classes.size(), 2U);
-  EXPECT_EQ(c.policy.classes[1].effect, Effect::kUnsafe);
-  EXPECT_DOUBLE_EQ(c.policy.classes[0].aimPerToken.count(), 40e-6);
+  EXPECT_EQ(c.policy.classes[1].idempotency, Idempotency::kAtMostOnce);
+  EXPECT_DOUBLE_EQ(c.policy.classes[0].ttftObjectivePerToken.count(), 40e-6);
   EXPECT_EQ(c.policy.maxAttempts, 6);
-  EXPECT_DOUBLE_EQ(c.policy.pinLimit.count(), 1);
-  EXPECT_TRUE(c.policy.retryAfterHeeded);
+  EXPECT_DOUBLE_EQ(c.policy.stateLeaseLimit.count(), 1);
+  EXPECT_TRUE(c.policy.clientsHonorRetryAfter);
   EXPECT_EQ(c.names.zone("south"), 1U);
   Json bad = file();
   bad["listen"] = "nowhere";
@@ -397,10 +398,10 @@
 TEST(LoadReports, AreReadOrIgnored) {
   const auto load = readLoadReport(" TEXT mean_ms=12.5, x0=0.5, x1=3, queue=2");
   ASSERT_TRUE(load);
-  EXPECT_DOUBLE_EQ(*load->memoryShare, 0.5);
-  EXPECT_DOUBLE_EQ(*load->waitingTokens, 3000);
-  EXPECT_DOUBLE_EQ(*load->queued, 2);
-  EXPECT_FALSE(load->inHand);
+  EXPECT_DOUBLE_EQ(*load->memoryUtilization, 0.5);
+  EXPECT_DOUBLE_EQ(*load->queuedPrefillTokens, 3000);
+  EXPECT_DOUBLE_EQ(*load->requestsQueued, 2);
+  EXPECT_FALSE(load->requestsInFlight);
   for (const char* const bad : {"", "JSON {}", "TEXT x0", "TEXT x0=", "TEXT x0=a",
                                 "TEXT x0=1, =", "TEXT x0=-1", "TEXT x0=nan", "TEXT x0=1e999"})
     EXPECT_FALSE(readLoadReport(bad)) << bad;
@@ -420,7 +421,7 @@
     EXPECT_EQ(told.find(": X-Load"), std::string::npos);
     EXPECT_EQ(told.substr(0, 10), eventOf("a").substr(0, 10));
     EXPECT_DOUBLE_EQ(stream.keptTokens(), 4096);
-    EXPECT_DOUBLE_EQ(*stream.load()->memoryShare, 0.5);
+    EXPECT_DOUBLE_EQ(*stream.load()->memoryUtilization, 0.5);
   }
   EventStream unfinished;
   EXPECT_TRUE(unfinished.take(eventOf("a"), [](const std::string&) {}));
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -20,21 +20,23 @@
 constexpr double kLength = 12;  // seconds that a stream lasts
 
 // ---- Actions as text ----
-std::string textOf(const Send& a) {
+std::string textOf(const StartAttempt& a) {
   char figures[128];
-  std::snprintf(figures, sizeof figures, " %u %.9g %.9g %.9g", a.server.value, a.timeout.count(),
-                a.expected.count(), a.expectedKept);
+  std::snprintf(figures, sizeof figures, " %u %.9g %.9g %.9g", a.engine.value, a.timeout.count(),
+                a.expectedDuration.count(), a.expectedCachedTokens);
   return "send " + a.id.value + figures;
 }
 std::string textOf(const Reserve& a) { return "reserve " + a.id.value; }
 std::string textOf(const Release& a) { return "release " + a.id.value; }
-std::string textOf(const Refuse& a) { return "refuse " + a.id.value; }
-std::string textOf(const Fail& a) { return "fail " + a.id.value; }
-std::string textOf(const Cancel& a) { return "cancel " + a.id.value + " " + std::to_string(a.attempt); }
-std::string textOf(const Probe& a) { return "probe " + std::to_string(a.server.value); }
-std::string textOf(const SubscribeServers&) { return "subscribe"; }
-std::string textOf(const FetchServers&) { return "fetch"; }
-std::string textOf(const SetTimer& a) { return "timer " + a.token; }
+std::string textOf(const RejectRequest& a) { return "refuse " + a.id.value; }
+std::string textOf(const FailRequest& a) { return "fail " + a.id.value; }
+std::string textOf(const CancelAttempt& a) {
+  return "cancel " + a.id.value + " " + std::to_string(a.attempt);
+}
+std::string textOf(const Probe& a) { return "probe " + std::to_string(a.engine.value); }
+std::string textOf(const SubscribeToEngineList&) { return "subscribe"; }
+std::string textOf(const FetchEngineList&) { return "fetch"; }
+std::string textOf(const SetTimer& a) { return "timer " + a.timer.value; }
 std::string textOf(const Log& a) { return "log " + a.text; }
 
 // FNV-1a.
@@ -63,7 +65,7 @@
 
   std::string play() {
     for (std::uint32_t id = 1; id <= 10; ++id) entries_.push_back(entryOf(id));
-    feed(ServerList{ServerList::Scope::kFull, entries_});
+    feed(EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_});
     for (; now_ < kLength; now_ += 0.02) {
       feed(TimerFired{"sweep"});
       for (int i = draw(3); i > 0; --i) arrive();
@@ -77,7 +79,7 @@
  private:
   struct Out {
     std::string id;
-    ServerId server;
+    EngineId server;
     bool reads = false, streaming = false;
     double until = 0;
   };
@@ -85,20 +87,20 @@
   static Settings settingsOf(std::uint32_t seed) {
     Settings s = twoStageSettings();
     s.seed = seed;
-    s.nodes = seed % 2 == 0 ? 1 : 30;
+    s.routerCount = seed % 2 == 0 ? 1 : 30;
     s.cancelAllowed = seed % 3 != 0;
     s.probesAllowed = seed % 4 < 2;
-    s.probePrice = 0.001;
-    s.reporting = seed % 4 < 2 ? Reporting::kProbes : Reporting::kAnswers;
+    s.probeCost = 0.001;
+    s.loadReportSource = seed % 4 < 2 ? LoadReportSource::kProbes : LoadReportSource::kResponses;
     s.classes.resize(2, s.classes[0]);
-    s.classes[1].effect = seed % 2 == 0 ? Effect::kUnsafe : Effect::kKeyed;
+    s.classes[1].idempotency = seed % 2 == 0 ? Idempotency::kAtMostOnce : Idempotency::kIdempotencyKey;
     s.classes[1].dedupWindow = Duration(1.5);
-    s.classes[1].worth = 2;
+    s.classes[1].priorityWeight = 2;
     s.tenants = {{0.5, 20, true}, {0.5, 2, true}};
     return s;
   }
 
-  ServerEntry entryOf(std::uint32_t id) const {
+  EngineEntry entryOf(std::uint32_t id) const {
     const Role role = id <= 5 ? Role::kPrefill : id <= 9 ? Role::kDecode : Role::kMixed;
     return server(id, role, id % 3, id % 2);
   }
@@ -111,27 +113,27 @@
     r.classIndex = static_cast<std::size_t>(draw(2));
     r.tenant = static_cast<std::size_t>(draw(2));
     r.isRetry = draw(10) == 0;
-    r.timeLeft = Duration(0.5 + draw(30) * 0.1);
-    r.session = static_cast<std::uint64_t>(1 + draw(20));
-    r.prefix = static_cast<std::uint64_t>(draw(4));
-    r.prefixTokens = r.prefix == 0 ? 0 : 400;
+    r.timeUntilDeadline = Duration(0.5 + draw(30) * 0.1);
+    r.sessionKey = static_cast<std::uint64_t>(1 + draw(20));
+    r.prefixKey = static_cast<std::uint64_t>(draw(4));
+    r.prefixTokens = r.prefixKey == 0 ? 0 : 400;
     r.promptTokens = 500 + draw(4000);
     r.maxOutputTokens = 200;
     feed(r);
   }
 
   void changeServer() {
-    ServerEntry& entry = entries_[static_cast<std::size_t>(draw(10))];
-    const bool serves = entry.state == ServerEntry::State::kServing;
-    entry.state = serves ? ServerEntry::State::kDraining : ServerEntry::State::kServing;
+    EngineEntry& entry = entries_[static_cast<std::size_t>(draw(10))];
+    const bool serves = entry.state == EngineEntry::State::kServing;
+    entry.state = serves ? EngineEntry::State::kDraining : EngineEntry::State::kServing;
     if (!serves) entry.startedAt = Instant(Duration(now_ - 0.5));
-    feed(ServerList{ServerList::Scope::kChanges, {entry}});
+    feed(EngineListUpdate{EngineListUpdate::Scope::kDelta, {entry}});
   }
 
   LoadReport report() {
     LoadReport told;
-    told.queued = draw(5);
-    told.memoryShare = draw(100) * 0.01;
+    told.requestsQueued = draw(5);
+    told.memoryUtilization = draw(100) * 0.01;
     return told;
   }
 
@@ -152,15 +154,15 @@
     }
     AttemptEnded e;
     e.id = {out.id};
-    e.server = out.server;
+    e.engine = out.server;
     e.elapsed = Duration(0.02 + draw(10) * 0.01);
-    e.keptTokens = out.reads ? draw(500) : 0;
+    e.cachedTokens = out.reads ? draw(500) : 0;
     e.load = report();
     const Outcome bad[] = {Outcome::kError,    Outcome::kReset,     Outcome::kConnectFailed,
                            Outcome::kRejected, Outcome::kStateLost, Outcome::kTimeout};
     const bool good = out.streaming || (out.reads && luck < 9);
     e.outcome = good ? (out.reads ? Outcome::kPrefilled : Outcome::kOk) : bad[draw(6)];
-    e.requestOver = out.streaming;
+    e.requestFinished = out.streaming;
     out_.erase(out.id);
     feed(e);
   }
@@ -170,18 +172,18 @@
     policy_.handle(Instant(Duration(now_)), event, actions);
     for (const Action& action : actions) {
       digest_.add(std::visit([](const auto& a) { return textOf(a); }, action));
-      if (const auto* send = std::get_if<Send>(&action)) sent(*send);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) cancelled(cancel->id.value);
-      if (const auto* probe = std::get_if<Probe>(&action)) probed_.push_back(probe->server);
+      if (const auto* send = std::get_if<StartAttempt>(&action)) sent(*send);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) cancelled(cancel->id.value);
+      if (const auto* probe = std::get_if<Probe>(&action)) probed_.push_back(probe->engine);
     }
-    const std::vector<ServerId> probed = std::exchange(probed_, {});
-    for (const ServerId id : probed) feed(ProbeEnded{id, Outcome::kOk, Duration(0.005), report()});
+    const std::vector<EngineId> probed = std::exchange(probed_, {});
+    for (const EngineId id : probed) feed(ProbeEnded{id, Outcome::kOk, Duration(0.005), report()});
   }
 
-  void sent(const Send& send) {
-    const bool reads = entries_[send.server.value - 1].role == Role::kPrefill;
+  void sent(const StartAttempt& send) {
+    const bool reads = entries_[send.engine.value - 1].role == Role::kPrefill;
     const double takes = draw(15) == 0 ? 5 : 0.03 + draw(20) * 0.02;
-    out_[send.id.value] = {send.id.value, send.server, reads, false,
+    out_[send.id.value] = {send.id.value, send.engine, reads, false,
                            now_ + std::min(takes, send.timeout.count())};
   }
 
@@ -190,7 +192,7 @@
     if (it == out_.end()) return;
     AttemptEnded e;
     e.id = {id};
-    e.server = it->second.server;
+    e.engine = it->second.server;
     e.outcome = Outcome::kCancelled;
     out_.erase(it);
     feed(e);
@@ -200,9 +202,9 @@
   Settings settings_;
   Policy policy_;
   Digest digest_;
-  std::vector<ServerEntry> entries_;
+  std::vector<EngineEntry> entries_;
   std::map<std::string, Out> out_;
-  std::vector<ServerId> probed_;
+  std::vector<EngineId> probed_;
   double now_ = 1;
   int count_ = 0;
 };
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -13,10 +13,10 @@
                    double shared = 0) {
   RequestArrived r;
   r.id = {id};
-  r.timeLeft = Duration(4);
+  r.timeUntilDeadline = Duration(4);
   r.promptTokens = prompt;
-  r.session = session;
-  r.prefix = prefix;
+  r.sessionKey = session;
+  r.prefixKey = prefix;
   r.prefixTokens = shared;
   r.maxOutputTokens = 300;
   return r;
@@ -38,14 +38,14 @@
 TEST(AbsurdFigures, NeitherKeepAServerOutNorSpoilWhatIsKnownOfTheOthers) {
   const auto spread = [](bool absurdKept, bool absurdLoad) {
     Settings settings = twoStageSettings();
-    settings.reporting = Reporting::kAnswers;
+    settings.loadReportSource = LoadReportSource::kResponses;
     Host host(settings);
     host.list(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
     const auto serve = [&](double at, const std::string& id, double kept, double figure) {
       const std::uint32_t reader = sentTo(host.request(at, id));
       if (reader == 0) return reader;
       AttemptEnded read{{id}, 0, {reader}, Outcome::kPrefilled, false, kept, Duration(0.05), LoadReport{}};
-      read.load->memoryShare = read.load->busyShare = read.load->queued = figure;
+      read.load->memoryUtilization = read.load->slotUtilization = read.load->requestsQueued = figure;
       host.feed(at + 0.05, read);
       host.streams(at + 0.06, id, 3);
       host.ended(at + 0.07, id, 3, Outcome::kOk, true);
@@ -88,7 +88,7 @@
 
 TEST(Reader, QueueOutweighsCreditInTheEnd) {
   Settings settings = twoStageSettings();
-  settings.classes[0].aim = Duration(100);  // no holding here: the pick alone is looked at
+  settings.classes[0].ttftObjective = Duration(100);  // no holding here: the pick alone is looked at
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   const std::uint32_t reader = serve(host, 1.1, ask("a", 1000, 42));
@@ -100,7 +100,7 @@
 }
 
 TEST(Reader, RestartedServerKeepsNothing) {
-  const std::vector<ServerEntry> both = {server(1, Role::kPrefill), server(2, Role::kPrefill),
+  const std::vector<EngineEntry> both = {server(1, Role::kPrefill), server(2, Role::kPrefill),
                                          server(3, Role::kDecode)};
   std::uint64_t text = 1;  // a text with its home at reader 2
   for (std::uint32_t home = 0; home != 2; ++text) {
@@ -113,9 +113,9 @@
   EXPECT_EQ(serve(host, 1.1, ask("a", 3000, 0, text, 2900)), 1U);
   host.list(1.6, both);
   EXPECT_EQ(serve(host, 1.7, ask("b", 3000, 0, text, 2900)), 1U) << "what it kept counts";
-  ServerEntry again = server(1, Role::kPrefill);
+  EngineEntry again = server(1, Role::kPrefill);
   again.startedAt = Instant(Duration(2.3));
-  host.list(3, {again}, ServerList::Scope::kChanges);
+  host.list(3, {again}, EngineListUpdate::Scope::kDelta);
   EXPECT_EQ(serve(host, 15.1, ask("c", 3000, 0, text, 2900)), 2U) << "until it starts anew";
 }
 
@@ -133,10 +133,10 @@
 
 // With many nodes the turns of a session come to different ones, none of which knows who keeps it.
 TEST(Reader, SessionHasOneHomeOnAllNodes) {
-  std::vector<ServerEntry> entries = {server(99, Role::kDecode)};
+  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
   for (std::uint32_t id = 1; id <= 8; ++id) entries.push_back(server(id, Role::kPrefill));
   Settings settings = twoStageSettings();
-  settings.nodes = 50;
+  settings.routerCount = 50;
   Host one(settings);
   settings.seed = 12345;
   Host other(settings);
@@ -154,10 +154,10 @@
 // Sessions that begin with one text are read where it is kept, on every node; a text that half of the
 // requests begin with has more than one home.
 TEST(Reader, SharedTextHasHomesByItsPartOfTheRequests) {
-  std::vector<ServerEntry> entries = {server(99, Role::kDecode)};
+  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
   for (std::uint32_t id = 1; id <= 12; ++id) entries.push_back(server(id, Role::kPrefill));
   Settings settings = twoStageSettings();
-  settings.nodes = 50;
+  settings.routerCount = 50;
   Host one(settings), other(settings);
   one.list(1, entries);
   other.list(1, entries);
@@ -170,7 +170,7 @@
       hot.push_back(serve(one, at, r));
     } else {
       RequestArrived again = r;
-      again.session = 2000 + i;
+      again.sessionKey = 2000 + i;
       EXPECT_EQ(serve(one, at, r), serve(other, at, again)) << "a rare text has one home for all sessions";
     }
   }
@@ -183,8 +183,8 @@
 RequestArrived ofSession(const std::string& id, std::uint64_t session) {
   RequestArrived r;
   r.id = {id};
-  r.timeLeft = Duration(6);
-  r.session = session;
+  r.timeUntilDeadline = Duration(6);
+  r.sessionKey = session;
   r.promptTokens = 1000;
   return r;
 }
@@ -241,8 +241,8 @@
     const std::uint32_t home = test::sentTo(host.feed(0, ofSession("lost", 5)));
     ASSERT_EQ(test::sentTo(host.feed(0.05, ofSession("next", 5))), home);
     if (overtaken) host.ended(0.15, "next", home, Outcome::kPrefilled), host.streams(0.2, "next", 2);
-    EXPECT_TRUE(test::only<Cancel>(host.run(0.4)).empty());
-    std::vector<Cancel> cancels = test::only<Cancel>(host.run(0.8));
+    EXPECT_TRUE(test::only<CancelAttempt>(host.run(0.4)).empty());
+    std::vector<CancelAttempt> cancels = test::only<CancelAttempt>(host.run(0.8));
     EXPECT_EQ(cancels.size(), overtaken ? 1U : 2U);  // a server that is silent to all has both called off
     host.ended(0.81, "lost", home, Outcome::kCancelled);
     EXPECT_NE(test::sentTo(host.last), home);  // tried elsewhere
@@ -254,14 +254,14 @@
 // only after twice the patience is its reader taken for hung.
 TEST(Silence, AnAttemptIsKeptWhileAnotherWouldComeLateAsWell) {
   Settings settings = twoStageSettings();
-  settings.classes[0].aim = Duration(0.7);
+  settings.classes[0].ttftObjective = Duration(0.7);
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   // A quarter of 8,000 tokens is expected to take 0.23 s; after thrice that the aim of 0.7 s has all but
   // passed.
   ASSERT_NE(sentTo(host.feed(1.1, ask("long", 8000, 1))), 0U);
-  EXPECT_TRUE(only<Cancel>(host.run(2.4)).empty());
-  EXPECT_EQ(only<Cancel>(host.run(2.6)).size(), 1U);
+  EXPECT_TRUE(only<CancelAttempt>(host.run(2.4)).empty());
+  EXPECT_EQ(only<CancelAttempt>(host.run(2.6)).size(), 1U);
 }
 
 // What was called off has taken that long at least: else a jam that calls off all that is slow never shows.
@@ -270,11 +270,11 @@
   host.list(0, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(4, Role::kPrefill),
                 server(3, Role::kDecode)});
   const std::uint32_t first = sentTo(host.feed(0, ask("a", 100, 1)));
-  ASSERT_EQ(only<Cancel>(host.run(0.6)).size(), 1U);  // half of the aim and a little
+  ASSERT_EQ(only<CancelAttempt>(host.run(0.6)).size(), 1U);  // half of the aim and a little
   host.feed(0.61, AttemptEnded{{"a"}, 0, {first}, Outcome::kCancelled, false, 0, Duration(0.6), {}});
-  host.feed(0.62, ClientGone{{"a"}});
+  host.feed(0.62, ClientDisconnected{{"a"}});
   ASSERT_NE(sentTo(host.feed(0.7, ask("b", 100, 2))), 0U);
-  EXPECT_TRUE(only<Cancel>(host.run(1.5)).empty());  // 0.5 s after it was sent, and more
+  EXPECT_TRUE(only<CancelAttempt>(host.run(1.5)).empty());  // 0.5 s after it was sent, and more
 }
 
 TEST(Writer, PickedAfterTheReadInTheReadersCell) {
@@ -288,12 +288,12 @@
 
 TEST(Writer, FullOneYieldsToTheNextCell) {
   Settings settings = twoStageSettings();
-  settings.reporting = Reporting::kProbes;
+  settings.loadReportSource = LoadReportSource::kProbes;
   settings.probesAllowed = true;
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 1), server(3, Role::kDecode, 0)});
   LoadReport full;
-  full.memoryShare = 0.998;
+  full.memoryUtilization = 0.998;
   host.feed(1.05, ProbeEnded{{3}, Outcome::kOk, Duration(0.001), full});
   host.request(1.1, "a");
   EXPECT_EQ(sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled)), 2U);
@@ -339,7 +339,7 @@
   host.list(1, {server(1, Role::kMixed)});
   EXPECT_EQ(sentTo(host.request(1.1, "a")), 1U);
   host.streams(1.2, "a", 1);
-  EXPECT_TRUE(only<Send>(host.ended(2, "a", 1, Outcome::kOk, true)).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.ended(2, "a", 1, Outcome::kOk, true)).empty());
 
   Host pair(twoStageSettings());
   pair.list(1, {server(1, Role::kPrefill), server(2, Role::kMixed), server(3, Role::kDecode)});
@@ -353,14 +353,14 @@
 
 TEST(Writer, ReadsByItselfOnlyWithoutReaders) {
   Settings settings = twoStageSettings();
-  settings.decodeMayPrefill = true;
+  settings.decodeCanPrefill = true;
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   EXPECT_EQ(sentTo(host.request(1.1, "a")), 1U);
   host.list(1.2, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-  ServerEntry gone = server(1, Role::kPrefill);
-  gone.state = ServerEntry::State::kGone;
-  host.list(1.3, {gone}, ServerList::Scope::kChanges);
+  EngineEntry gone = server(1, Role::kPrefill);
+  gone.state = EngineEntry::State::kRemoved;
+  host.list(1.3, {gone}, EngineListUpdate::Scope::kDelta);
   EXPECT_EQ(sentTo(host.request(1.4, "b")), 2U);
 }
 
@@ -385,7 +385,7 @@
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   const std::uint32_t reader = sentTo(host.request(1.1, "a"));
-  const auto cancels = only<Cancel>(host.run(2.4));
+  const auto cancels = only<CancelAttempt>(host.run(2.4));
   ASSERT_EQ(cancels.size(), 1U);
   EXPECT_EQ(sentTo(host.ended(2.45, "a", reader, Outcome::kCancelled)), 3U - reader);
 }
@@ -396,14 +396,14 @@
   host.request(1.1, "a");
   host.ended(1.2, "a", 1, Outcome::kPrefilled);
   host.streams(1.3, "a", 2);
-  EXPECT_TRUE(only<Send>(host.ended(1.5, "a", 2, Outcome::kReset, true)).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.ended(1.5, "a", 2, Outcome::kReset, true)).empty());
 }
 
 TEST(Life, EmptyDiscoveryRefusesInTime) {
   Host host(twoStageSettings());
-  host.list(1, {}, ServerList::Scope::kSaved);
+  host.list(1, {}, EngineListUpdate::Scope::kCached);
   host.request(1.1, "a");
-  const auto refused = only<Refuse>(host.run(2));
+  const auto refused = only<RejectRequest>(host.run(2));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_DOUBLE_EQ(refused[0].retryAfter.count(), 1.0);
   EXPECT_LT(host.now, 1.1 + 4);
@@ -437,7 +437,7 @@
 // A rack that goes down is not learned of one server at a time.
 TEST(Health, SecondServerLostPutsItsCellOnTrial) {
   Host host(twoStageSettings());
-  std::vector<ServerEntry> entries = {server(1, Role::kPrefill, 1)};
+  std::vector<EngineEntry> entries = {server(1, Role::kPrefill, 1)};
   for (std::uint32_t id = 2; id <= 6; ++id) entries.push_back(server(id, Role::kDecode, 1));
   entries.push_back(server(9, Role::kDecode, 2));
   host.list(1, entries);
@@ -494,12 +494,12 @@
 // up.
 TEST(Probes, GoWhereAReadWillNeedThemWithinTheirBudget) {
   Settings settings = twoStageSettings();
-  settings.nodes = 200;
+  settings.routerCount = 200;
   settings.probesAllowed = true;
-  settings.reporting = Reporting::kProbes;
-  settings.probePrice = 0.01;
+  settings.loadReportSource = LoadReportSource::kProbes;
+  settings.probeCost = 0.01;
   Host host(settings);
-  std::vector<ServerEntry> entries = {server(1, Role::kPrefill, 0)};
+  std::vector<EngineEntry> entries = {server(1, Role::kPrefill, 0)};
   for (std::uint32_t id = 10; id < 60; ++id) entries.push_back(server(id, Role::kDecode, id));
   entries.push_back(server(2, Role::kDecode, 0));
   host.list(1, entries);
@@ -509,7 +509,7 @@
     const double at = 1.1 + i;
     host.request(at, id, 500);
     for (const Probe& probe : only<Probe>(host.last))
-      EXPECT_EQ(probe.server.value, 2U) << "the reader's cell";
+      EXPECT_EQ(probe.engine.value, 2U) << "the reader's cell";
     host.ended(at + 0.05, id, 1, Outcome::kPrefilled);
     host.streams(at + 0.08, id, 2);
     host.ended(at + 0.3, id, 2, Outcome::kOk, true);
@@ -522,16 +522,16 @@
 
 LoadReport queueOf(double requests) {
   LoadReport report;
-  report.queued = requests;
+  report.requestsQueued = requests;
   return report;
 }
 
 // A hundred nodes, reports that tell queues; a reader told of one some seconds ago.
-Host hostThatHeardOfQueues(double requests, std::vector<ServerEntry> entries) {
+Host hostThatHeardOfQueues(double requests, std::vector<EngineEntry> entries) {
   Settings settings = twoStageSettings();
-  settings.nodes = 100;
+  settings.routerCount = 100;
   settings.probesAllowed = true;
-  settings.reporting = Reporting::kAnswers;
+  settings.loadReportSource = LoadReportSource::kResponses;
   Host host(settings);
   host.list(1, std::move(entries));
   host.feed(1.01, ProbeEnded{{1}, Outcome::kOk, Duration(0.001), queueOf(requests)});
@@ -544,9 +544,9 @@
   Host host = hostThatHeardOfQueues(
       2, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   host.request(3.1, "a");
-  ASSERT_TRUE(only<Send>(host.last).empty());
+  ASSERT_TRUE(only<StartAttempt>(host.last).empty());
   ASSERT_EQ(only<Probe>(host.last).size(), 1U);
-  const std::uint32_t first = only<Probe>(host.last)[0].server.value;
+  const std::uint32_t first = only<Probe>(host.last)[0].engine.value;
   host.feed(3.102, ProbeEnded{{first}, Outcome::kOk, Duration(0.001), queueOf(4)});
   ASSERT_EQ(only<Probe>(host.last).size(), 1U) << "the other one looks better now and is asked too";
   host.feed(3.104, ProbeEnded{{3 - first}, Outcome::kOk, Duration(0.001), queueOf(0)});
@@ -558,8 +558,8 @@
 TEST(Probes, SilentReaderHoldsNobodyUp) {
   Host host = hostThatHeardOfQueues(2, {server(1, Role::kPrefill), server(3, Role::kDecode)});
   host.request(3.1, "a");
-  ASSERT_TRUE(only<Send>(host.last).empty());
-  EXPECT_EQ(only<Send>(host.run(3.15)).size(), 1U);
+  ASSERT_TRUE(only<StartAttempt>(host.last).empty());
+  EXPECT_EQ(only<StartAttempt>(host.run(3.15)).size(), 1U);
 }
 
 TEST(Probes, ReadersWithoutQueuesAreNotAsked) {
@@ -571,18 +571,18 @@
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   for (int i = 0; i < 20; ++i) host.request(1.1, "r" + std::to_string(i), 2000);
-  const std::size_t out = only<Send>(host.all).size();
+  const std::size_t out = only<StartAttempt>(host.all).size();
   EXPECT_GE(out, 1U);
   EXPECT_LE(out, 4U);
-  EXPECT_EQ(only<Refuse>(host.run(1.9)).size(), 20 - out) << "none is kept past half of its aim";
+  EXPECT_EQ(only<RejectRequest>(host.run(1.9)).size(), 20 - out) << "none is kept past half of its aim";
 }
 
 // A hung or slow reader must not close the door for those that go to other readers.
 TEST(Overload, HungAttemptsDoNotCountAsAQueueElsewhere) {
   Settings settings = twoStageSettings();
-  settings.nodes = 100;
+  settings.routerCount = 100;
   Host host(settings);
-  std::vector<ServerEntry> entries = {server(99, Role::kDecode)};
+  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
   for (std::uint32_t id = 1; id <= 10; ++id) entries.push_back(server(id, Role::kPrefill));
   host.list(1, entries);
   ASSERT_NE(sentTo(host.feed(1.1, ask("hung", 3000, 1))), 0U);
@@ -595,13 +595,13 @@
   for (const bool marked : {false, true}) {
     Settings settings = twoStageSettings();
     settings.classes.push_back(settings.classes[0]);
-    settings.classes[1].aim = Duration(4);
-    settings.classes[0].worth = 3;
+    settings.classes[1].ttftObjective = Duration(4);
+    settings.classes[0].priorityWeight = 3;
     Host host(settings);
     host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
     RequestArrived r = ask("long", 12000, 1);  // 1.2 s of reading: over half of the other class's aim
     r.classIndex = 1;
-    r.timeLeft = Duration(10);
+    r.timeUntilDeadline = Duration(10);
     r.isRetry = marked;
     EXPECT_EQ(sentTo(host.feed(1.1, r)), marked ? 0U : 1U);
     if (marked) continue;
@@ -636,7 +636,7 @@
   host.streams(2.12, "slow", 2);  // a writer's wait of about 1 s against an aim of 1 s
   host.tick(2.14);
   EXPECT_EQ(sentTo(host.request(2.15, "b", 100)), 0U);
-  const auto refused = only<Refuse>(host.run(2.8));
+  const auto refused = only<RejectRequest>(host.run(2.8));
   ASSERT_EQ(refused.size(), 1U) << "answered at half of its aim";
 }
 
@@ -660,7 +660,7 @@
   }
   host.tick(1.32);
   int beyond = 0, within = 0;
-  for (const Send& send : only<Send>(host.all)) {
+  for (const StartAttempt& send : only<StartAttempt>(host.all)) {
     beyond += send.id.value.rfind("beyond", 0) == 0;
     within += send.id.value.rfind("within", 0) == 0;
   }
@@ -672,7 +672,7 @@
 // are chance, not a tenant beyond its share.
 TEST(Overload, ChanceAtOneOfManyNodesIsNoTenantBeyondItsShare) {
   Settings settings = twoStageSettings();
-  settings.nodes = 150;
+  settings.routerCount = 150;
   settings.tenants = {{0.07, 20.0}};
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
--- a/tests/random_lives_test.cpp
+++ b/tests/random_lives_test.cpp
@@ -32,7 +32,9 @@
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
   std::size_t oneOf(std::size_t count) { return random_() % count; }
-  void later(double seconds, std::function<void()> task) { loop.after(Duration(seconds), std::move(task)); }
+  void later(double seconds, std::function<void()> task) {
+    loop.runAfter(Duration(seconds), std::move(task));
+  }
 
   void startNode() {
     start([&](Json& json) {
@@ -134,7 +136,7 @@
     // first.
     for (const auto& earlier : works_) {
       if (earlier->id == work->id && !earlier->over && !earlier->peer->closed)
-        earlier->peer->connection.poll();
+        earlier->peer->connection.readNow();
     }
     noticeCallOffs();
     audit.attemptArrived(work->id, engine % 2 == 1, states_[engine].toldAt, clock());
@@ -230,8 +232,9 @@
     bool over = false;
   };
   void ask() {
-    static const std::pair<const char*, Effect> kClasses[] = {
-        {"chat", Effect::kSafe}, {"pay", Effect::kUnsafe}, {"note", Effect::kKeyed}};
+    static const std::pair<const char*, Idempotency> kClasses[] = {{"chat", Idempotency::kIdempotent},
+                                                                   {"pay", Idempotency::kAtMostOnce},
+                                                                   {"note", Idempotency::kIdempotencyKey}};
     const auto& [name, effect] = kClasses[oneOf(3)];
     Asking asking;
     asking.id = "q" + std::to_string(++asked_);
@@ -310,10 +313,10 @@
   }
   for (const std::string& broken : audit.breaks()) ADD_FAILURE() << "seed " << GetParam() << ": " << broken;
   EXPECT_TRUE(done) << "seed " << GetParam() << ": " << node->account();
-  EXPECT_EQ(node->core().owed(), 0U);
+  EXPECT_EQ(node->core().pendingObligations(), 0U);
   EXPECT_EQ(node->engines().open(), 0U);
-  EXPECT_EQ(node->engines().smallCalls(), 0U);
-  EXPECT_GT(node->core().counts().served, 5U);  // it is no idle day
+  EXPECT_EQ(node->engines().auxiliaryCalls(), 0U);
+  EXPECT_GT(node->core().counters().served, 5U);  // it is no idle day
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomLives, ::testing::Range(1U, 25U));
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -13,29 +13,30 @@
   l.maxAttempts = 6;
   l.rebuildBurst = 3000;
   l.rebuildShare = 0.5;
-  l.effects = {Effect::kSafe, Effect::kUnsafe, Effect::kKeyed, Effect::kSafe};
-  l.worths = {1, 1, 1, 5};
+  l.idempotency = {Idempotency::kIdempotent, Idempotency::kAtMostOnce, Idempotency::kIdempotencyKey,
+                   Idempotency::kIdempotent};
+  l.priorityWeights = {1, 1, 1, 5};
   return l;
 }
 
-Lost lost(StreamKey key, std::size_t classIndex = 0, double tokens = 1000, double left = 10) {
-  return {key, classIndex, tokens, Duration(left), 0, 2, Ending::kTold};
+LostStream lost(StreamKey key, std::size_t classIndex = 0, double tokens = 1000, double left = 10) {
+  return {key, classIndex, tokens, Duration(left), 0, 2, AttemptEnd::kConfirmed};
 }
 
 Stream stream(std::size_t classIndex, std::uint32_t engine = 1) {
-  return {classIndex, ServerId{engine}, 1000, 1000, at(1000), 0, 2};
+  return {classIndex, EngineId{engine}, 1000, 1000, at(1000), 0, 2};
 }
 
 class RecoveryTest : public ::testing::Test {
  protected:
   // Streams that bring a token every 50 ms until `end`.
   void run(StreamKey key, double from, double end, std::size_t classIndex = 0) {
-    recovery.started(at(from), key, stream(classIndex));
-    for (double t = from; t < end; t += 0.05) recovery.token(at(t), key, 6);
+    recovery.onStreamStarted(at(from), key, stream(classIndex));
+    for (double t = from; t < end; t += 0.05) recovery.onToken(at(t), key, 6);
   }
   std::vector<StreamKey> moved(Instant now) {
     std::vector<StreamKey> keys;
-    for (const Recovery::Move& move : recovery.moves(now)) keys.push_back(move.stream);
+    for (const Recovery::Migration& move : recovery.streamsToMigrate(now)) keys.push_back(move.stream);
     return keys;
   }
   Recovery recovery{limits()};
@@ -43,47 +44,47 @@
 
 TEST_F(RecoveryTest, ASafeStreamGoesOn) {
   run(1, 0, 1);
-  EXPECT_EQ(recovery.lost(at(1), lost(1)).verdict, Verdict::kGoOn);
+  EXPECT_EQ(recovery.onStreamLost(at(1), lost(1)).disposition, Disposition::kContinue);
 }
 
 TEST_F(RecoveryTest, AStreamWithAnEffectNeverGoesOn) {
   run(1, 0, 1, 1);
   run(2, 0, 1, 2);
   for (const StreamKey key : {1, 2}) {
-    const Decision d = recovery.lost(at(1), lost(key, key));
-    EXPECT_EQ(d.verdict, Verdict::kGiveUp);
-    EXPECT_EQ(d.why, "its effect may have happened");
+    const Decision d = recovery.onStreamLost(at(1), lost(key, key));
+    EXPECT_EQ(d.disposition, Disposition::kGiveUp);
+    EXPECT_EQ(d.reason, "its effect may have happened");
   }
 }
 
 TEST_F(RecoveryTest, GivesUpWhereNothingCanBeGained) {
   run(1, 0, 1);
-  Lost late = lost(1);
-  late.timeLeft = Duration(0.3);
-  EXPECT_EQ(recovery.lost(at(1), late).why, "no time left");
-  Lost tried = lost(1);
+  LostStream late = lost(1);
+  late.timeUntilDeadline = Duration(0.3);
+  EXPECT_EQ(recovery.onStreamLost(at(1), late).reason, "no time left");
+  LostStream tried = lost(1);
   tried.attempts = 5;
-  EXPECT_EQ(recovery.lost(at(1), tried).why, "no attempts left");
-  Lost moved = lost(1);
-  moved.moves = 3;
-  EXPECT_EQ(recovery.lost(at(1), moved).why, "moved too often");
-  EXPECT_EQ(recovery.lost(at(1), lost(9)).why, "its text was not kept");
+  EXPECT_EQ(recovery.onStreamLost(at(1), tried).reason, "no attempts left");
+  LostStream moved = lost(1);
+  moved.continuations = 3;
+  EXPECT_EQ(recovery.onStreamLost(at(1), moved).reason, "moved too often");
+  EXPECT_EQ(recovery.onStreamLost(at(1), lost(9)).reason, "its text was not kept");
 }
 
 TEST_F(RecoveryTest, TextPastItsBudgetEndsThat) {
   Limits l = limits();
-  l.keptPerStream = 100;
-  l.keptPerNode = 150;
+  l.maxBufferedBytesPerStream = 100;
+  l.maxBufferedBytes = 150;
   Recovery small(l);
-  small.started(at(0), 1, stream(0));
-  small.started(at(0), 2, stream(0));
-  EXPECT_TRUE(small.token(at(0), 1, 90));
-  EXPECT_FALSE(small.token(at(0), 2, 70)) << "over the node's";
-  EXPECT_EQ(small.keptBytes(), 90u);
-  EXPECT_FALSE(small.token(at(0), 1, 20)) << "over the stream's";
-  EXPECT_EQ(small.keptBytes(), 0u);
-  EXPECT_FALSE(small.token(at(0), 1, 1)) << "once lost it stays so";
-  EXPECT_EQ(small.lost(at(1), lost(1)).verdict, Verdict::kGiveUp);
+  small.onStreamStarted(at(0), 1, stream(0));
+  small.onStreamStarted(at(0), 2, stream(0));
+  EXPECT_TRUE(small.onToken(at(0), 1, 90));
+  EXPECT_FALSE(small.onToken(at(0), 2, 70)) << "over the node's";
+  EXPECT_EQ(small.bufferedBytes(), 90u);
+  EXPECT_FALSE(small.onToken(at(0), 1, 20)) << "over the stream's";
+  EXPECT_EQ(small.bufferedBytes(), 0u);
+  EXPECT_FALSE(small.onToken(at(0), 1, 1)) << "once lost it stays so";
+  EXPECT_EQ(small.onStreamLost(at(1), lost(1)).disposition, Disposition::kGiveUp);
 }
 
 TEST_F(RecoveryTest, ASilentStreamIsFoundAndAPauseIsNot) {
@@ -101,10 +102,10 @@
 
 TEST_F(RecoveryTest, AClientThatTakesNothingIsNoSilence) {
   run(1, 0, 1);
-  recovery.paused(at(1), 1, true);
+  recovery.onClientPaused(at(1), 1, true);
   run(2, 0, 5);
   EXPECT_TRUE(moved(at(5)).empty());
-  recovery.paused(at(5), 1, false);
+  recovery.onClientPaused(at(5), 1, false);
   run(3, 5, 8);
   EXPECT_TRUE(moved(at(5.5)).empty()) << "what was held back comes first";
   EXPECT_EQ(moved(at(8)), (std::vector<StreamKey>{1, 2}));
@@ -113,48 +114,51 @@
 TEST_F(RecoveryTest, AThirdOfTheWritersGoneIsNoStorm) {
   for (StreamKey key = 1; key <= 30; ++key) run(key, 0, 1);
   int goOn = 0;
-  for (StreamKey key = 1; key <= 30; ++key) goOn += recovery.lost(at(1), lost(key)).verdict == Verdict::kGoOn;
+  for (StreamKey key = 1; key <= 30; ++key)
+    goOn += recovery.onStreamLost(at(1), lost(key)).disposition == Disposition::kContinue;
   EXPECT_EQ(goOn, 3) << "the burst";
-  EXPECT_TRUE(recovery.turns(at(1.1)).goOn.empty());
-  recovery.readTokens(4000);  // new requests' reads: half as much for continuations
-  EXPECT_EQ(recovery.turns(at(1.2)).goOn.size(), 2u);
-  const auto late = recovery.turns(at(3));
-  EXPECT_EQ(late.giveUp.size(), 25u) << "who waited too long is told so";
-  EXPECT_TRUE(recovery.turns(at(3.1)).giveUp.empty());
+  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toContinue.empty());
+  recovery.onPrefillStarted(4000);  // new requests' reads: half as much for continuations
+  EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue.size(), 2u);
+  const auto late = recovery.takeDueStreams(at(3));
+  EXPECT_EQ(late.toGiveUp.size(), 25u) << "who waited too long is told so";
+  EXPECT_TRUE(recovery.takeDueStreams(at(3.1)).toGiveUp.empty());
 }
 
 TEST_F(RecoveryTest, WorthGoesFirst) {
   for (StreamKey key = 1; key <= 6; ++key) run(key, 0, 1, key == 6 ? 3 : 0);
-  for (StreamKey key = 1; key <= 6; ++key) recovery.lost(at(1), lost(key, key == 6 ? 3 : 0));
-  recovery.readTokens(2000);
-  EXPECT_EQ(recovery.turns(at(1.2)).goOn, std::vector<StreamKey>{6});
+  for (StreamKey key = 1; key <= 6; ++key) recovery.onStreamLost(at(1), lost(key, key == 6 ? 3 : 0));
+  recovery.onPrefillStarted(2000);
+  EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{6});
 }
 
 TEST_F(RecoveryTest, OffMeansOff) {
   Limits l = limits();
   l.enabled = false;
   Recovery off(l);
-  off.started(at(0), 1, stream(0));
-  off.token(at(0), 1, 5);
-  EXPECT_EQ(off.lost(at(1), lost(1)).why, "recovery is off");
-  EXPECT_TRUE(off.moves(at(9)).empty());
+  off.onStreamStarted(at(0), 1, stream(0));
+  off.onToken(at(0), 1, 5);
+  EXPECT_EQ(off.onStreamLost(at(1), lost(1)).reason, "recovery is off");
+  EXPECT_TRUE(off.streamsToMigrate(at(9)).empty());
 }
 
 TEST_F(RecoveryTest, AStreamThatMayStillRunWaitsForTheEnginesWordOrTheLease) {
   run(1, 0, 1);
   run(2, 0, 1);
-  Lost off = lost(1);
-  off.ending = Ending::kCalledOff;
-  EXPECT_EQ(recovery.lost(at(1), off).verdict, Verdict::kFence) << "its engine is asked at once";
+  LostStream off = lost(1);
+  off.attemptEnd = AttemptEnd::kAbandoned;
+  EXPECT_EQ(recovery.onStreamLost(at(1), off).disposition, Disposition::kFenceFirst)
+      << "its engine is asked at once";
   off.stream = 2;
-  EXPECT_EQ(recovery.lost(at(1), off).verdict, Verdict::kFence);
-  EXPECT_TRUE(recovery.turns(at(1.1)).fence.empty()) << "and not at every look";
-  EXPECT_EQ(recovery.fenced(at(1.2), 1), Verdict::kGoOn);
-  const auto turns = recovery.turns(at(1.3));
-  EXPECT_TRUE(turns.goOn.empty()) << "once";
-  EXPECT_EQ(turns.fence, std::vector<StreamKey>{2}) << "the silent one is asked again";
-  EXPECT_TRUE(recovery.turns(at(2.9)).goOn.empty());
-  EXPECT_EQ(recovery.turns(at(3.05)).goOn, std::vector<StreamKey>{2}) << "its lease has run out";
+  EXPECT_EQ(recovery.onStreamLost(at(1), off).disposition, Disposition::kFenceFirst);
+  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toFence.empty()) << "and not at every look";
+  EXPECT_EQ(recovery.onAttemptFenced(at(1.2), 1), Disposition::kContinue);
+  const auto turns = recovery.takeDueStreams(at(1.3));
+  EXPECT_TRUE(turns.toContinue.empty()) << "once";
+  EXPECT_EQ(turns.toFence, std::vector<StreamKey>{2}) << "the silent one is asked again";
+  EXPECT_TRUE(recovery.takeDueStreams(at(2.9)).toContinue.empty());
+  EXPECT_EQ(recovery.takeDueStreams(at(3.05)).toContinue, std::vector<StreamKey>{2})
+      << "its lease has run out";
 }
 
 TEST_F(RecoveryTest, AStreamIsNotTakenAwayWhereItCouldNotGoOn) {
@@ -165,67 +169,67 @@
 
 TEST_F(RecoveryTest, ALeavingWritersLongStreamsMoveInWaves) {
   for (StreamKey key = 1; key <= 6; ++key)
-    recovery.started(at(0), key, {0, ServerId{7}, 400, 100, at(60), 0, 2});
-  recovery.started(at(0), 7,
-                   {0, ServerId{7}, 400, 22, at(60), 0, 2});  // short: it ends before the writer does
-  recovery.started(at(0), 8, {0, ServerId{8}, 400, 100, at(60), 0, 2});
+    recovery.onStreamStarted(at(0), key, {0, EngineId{7}, 400, 100, at(60), 0, 2});
+  recovery.onStreamStarted(at(0), 7,
+                           {0, EngineId{7}, 400, 22, at(60), 0, 2});  // short: it ends before the writer does
+  recovery.onStreamStarted(at(0), 8, {0, EngineId{8}, 400, 100, at(60), 0, 2});
   for (double t = 0; t < 1; t += 0.05) {
-    for (StreamKey key = 1; key <= 8; ++key) recovery.token(at(t), key, 6);
+    for (StreamKey key = 1; key <= 8; ++key) recovery.onToken(at(t), key, 6);
   }
   EXPECT_TRUE(moved(at(1)).empty());
-  recovery.leaving(ServerId{7}, at(2));
+  recovery.onEngineShutdownNotice(EngineId{7}, at(2));
   std::vector<StreamKey> all;
   for (int look = 0; look < 7; ++look) {
     const auto wave = moved(at(1 + 0.1 * look));
     EXPECT_LE(wave.size(), 1u) << "spread over the notice";
     for (const StreamKey key : wave) {
-      Lost off = lost(key, 0, 420);
-      off.ending = Ending::kCalledOff;
-      recovery.lost(at(1 + 0.1 * look), off);
+      LostStream off = lost(key, 0, 420);
+      off.attemptEnd = AttemptEnd::kAbandoned;
+      recovery.onStreamLost(at(1 + 0.1 * look), off);
       all.push_back(key);
     }
   }
   EXPECT_EQ(all, (std::vector<StreamKey>{1, 2, 3, 4, 5, 6}));
-  EXPECT_LE(1 + 0.1 * 7, 2 - limits().moveEarly.count() + 1e-9) << "before its end";
+  EXPECT_LE(1 + 0.1 * 7, 2 - limits().migrationLeadTime.count() + 1e-9) << "before its end";
 }
 
 TEST_F(RecoveryTest, AFencedStreamWaitsBehindThoseThatWaitForATurn) {
   for (StreamKey key = 1; key <= 4; ++key) run(key, 0, 1);
-  recovery.lost(at(1), lost(1, 0, 3000));
-  EXPECT_EQ(recovery.lost(at(1), lost(2)).verdict, Verdict::kWait);
-  Lost off = lost(3);
-  off.ending = Ending::kCalledOff;
-  recovery.lost(at(1), off);
-  recovery.readTokens(2000);
-  EXPECT_EQ(recovery.fenced(at(1.1), 3), Verdict::kWait);
-  EXPECT_EQ(recovery.turns(at(1.2)).goOn, std::vector<StreamKey>{2});
+  recovery.onStreamLost(at(1), lost(1, 0, 3000));
+  EXPECT_EQ(recovery.onStreamLost(at(1), lost(2)).disposition, Disposition::kWait);
+  LostStream off = lost(3);
+  off.attemptEnd = AttemptEnd::kAbandoned;
+  recovery.onStreamLost(at(1), off);
+  recovery.onPrefillStarted(2000);
+  EXPECT_EQ(recovery.onAttemptFenced(at(1.1), 3), Disposition::kWait);
+  EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{2});
 }
 
 TEST_F(RecoveryTest, AnEngineThatIsStillThereAfterItsEndHasStayed) {
-  recovery.goesAway(at(0), ServerId{1});
+  recovery.onGoAway(at(0), EngineId{1});
   run(1, 4, 5);
   EXPECT_TRUE(moved(at(5)).empty()) << "a process that came back under the same number";
-  recovery.goesAway(at(5), ServerId{1});
+  recovery.onGoAway(at(5), EngineId{1});
   EXPECT_EQ(moved(at(5)).size(), 1u) << "and goes again";
 }
 
 TEST_F(RecoveryTest, AWriterThatStaysAfterAllKeepsItsStreams) {
   run(1, 0, 1);
-  recovery.leaving(ServerId{1}, at(3));
-  recovery.leaving(ServerId{1}, {});
+  recovery.onEngineShutdownNotice(EngineId{1}, at(3));
+  recovery.onEngineShutdownNotice(EngineId{1}, {});
   EXPECT_TRUE(moved(at(1)).empty());
 }
 
 TEST_F(RecoveryTest, ASlowingStreamMovesOnlyWhereThatBringsItInTime) {
-  recovery.started(at(0), 1, {0, ServerId{2}, 500, 100, at(20), 0, 2});
-  recovery.started(at(0), 2, {0, ServerId{2}, 500, 14, at(20), 0, 2});  // ends in time where it is
-  for (StreamKey key = 3; key <= 8; ++key) recovery.started(at(0), key, stream(0));
+  recovery.onStreamStarted(at(0), 1, {0, EngineId{2}, 500, 100, at(20), 0, 2});
+  recovery.onStreamStarted(at(0), 2, {0, EngineId{2}, 500, 14, at(20), 0, 2});  // ends in time where it is
+  for (StreamKey key = 3; key <= 8; ++key) recovery.onStreamStarted(at(0), key, stream(0));
   for (int step = 0; step < 100; ++step) {
     const Instant now = at(0.05 * step);
-    for (StreamKey key = 3; key <= 8; ++key) recovery.token(now, key, 6);
+    for (StreamKey key = 3; key <= 8; ++key) recovery.onToken(now, key, 6);
     if (step % 10 != 0) continue;
-    recovery.token(now, 1, 6);
-    recovery.token(now, 2, 6);
+    recovery.onToken(now, 1, 6);
+    recovery.onToken(now, 2, 6);
     EXPECT_TRUE(step > 60 || moved(now).empty()) << "not before it lasts";
   }
   EXPECT_EQ(moved(at(5)), std::vector<StreamKey>{1});
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -40,14 +40,14 @@
   silent = true;
   startWith(2);
   const auto peer = asks(ask("held"));
-  ASSERT_TRUE(within(1, [&] { return node->core().open() == 1; }));
+  ASSERT_TRUE(within(1, [&] { return node->core().openRequests() == 1; }));
   pass(0.1);
   peer->connection.close();
   pass(6);
   EXPECT_EQ(taken, 0);
   silent = false;
   EXPECT_TRUE(within(0.3, [&] { return taken > 0; }));
-  EXPECT_EQ(node->engines().smallCalls(), 0U);
+  EXPECT_EQ(node->engines().auxiliaryCalls(), 0U);
 }
 
 // An engine that is off the list may run on, and takes a release as well as any other; it comes last.
@@ -60,10 +60,10 @@
   });
   http1::Client calls(loop, {});
   EngineTable engines;
-  engines[ServerId{1}].address = *net::parseEndpoint(removed.address());
-  engines[ServerId{1}].gone = true;
-  engines[ServerId{2}].address = *net::parseEndpoint(onTheList.address());
-  Releases releases(loop, calls, engines, [](ServerId) {});
+  engines[EngineId{1}].address = *net::parseEndpoint(removed.address());
+  engines[EngineId{1}].gone = true;
+  engines[EngineId{2}].address = *net::parseEndpoint(onTheList.address());
+  Releases releases(loop, calls, engines, [](EngineId) {});
   releases.begin("a");
   EXPECT_TRUE(within(0.5, [&] { return releases.pending() == 0; }));
   EXPECT_EQ(offTheList, (std::vector<bool>{false, true}));
@@ -80,13 +80,13 @@
   std::list<Scripted> silentOnes;
   http1::Client calls(loop, {});
   EngineTable engines;
-  engines[ServerId{99}].address = *net::parseEndpoint(removed.address());
-  engines[ServerId{99}].gone = true;
+  engines[EngineId{99}].address = *net::parseEndpoint(removed.address());
+  engines[EngineId{99}].gone = true;
   for (std::uint32_t id = 1; id <= kSilent; ++id) {
     silentOnes.emplace_back(loop, [](Peer&, const http1::Request&) {});
-    engines[ServerId{id}].address = *net::parseEndpoint(silentOnes.back().address());
+    engines[EngineId{id}].address = *net::parseEndpoint(silentOnes.back().address());
   }
-  Releases releases(loop, calls, engines, [](ServerId) {});
+  Releases releases(loop, calls, engines, [](EngineId) {});
   for (int i = 0; i < kReleases; ++i) releases.begin("r" + std::to_string(i));
   EXPECT_TRUE(within(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
 }
@@ -99,18 +99,18 @@
   std::set<std::string> reached;
   Scripted slow(loop, [&](Peer& peer, const http1::Request& request) {
     reached.insert(request.target);
-    loop.after(kAnswersAfter, [&peer] { peer.send("HTTP/1.1 204 No Content\r\n\r\n"); });
+    loop.runAfter(kAnswersAfter, [&peer] { peer.send("HTTP/1.1 204 No Content\r\n\r\n"); });
   });
   std::list<Scripted> silentOnes;
   http1::Client calls(loop, {});
   EngineTable engines;
-  engines[ServerId{99}].address = *net::parseEndpoint(slow.address());
+  engines[EngineId{99}].address = *net::parseEndpoint(slow.address());
   for (std::uint32_t id = 1; id <= kSilent; ++id) {
     silentOnes.emplace_back(loop, [](Peer&, const http1::Request&) {});
-    engines[ServerId{id}].address = *net::parseEndpoint(silentOnes.back().address());
-    engines[ServerId{id}].heardAt = loop.now();  // more likely to be there
+    engines[EngineId{id}].address = *net::parseEndpoint(silentOnes.back().address());
+    engines[EngineId{id}].heardAt = loop.now();  // more likely to be there
   }
-  Releases releases(loop, calls, engines, [](ServerId) {});
+  Releases releases(loop, calls, engines, [](EngineId) {});
   releases.takePinLimit(Duration(0.3));
   for (int i = 0; i < kReleases; ++i) releases.begin("r" + std::to_string(i));
   EXPECT_TRUE(within(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
@@ -121,7 +121,7 @@
 TEST_F(ReleasesTest, WhatIsPendingIsBoundedAndARepeatAddsNothing) {
   http1::Client calls(loop, {});
   const EngineTable none;
-  Releases releases(loop, calls, none, [](ServerId) {});
+  Releases releases(loop, calls, none, [](EngineId) {});
   for (std::size_t i = 0; i <= Releases::kMostPending; ++i) releases.begin("r" + std::to_string(i));
   EXPECT_EQ(releases.pending(), Releases::kMostPending);
   EXPECT_EQ(releases.counts().givenUp, 1U);
@@ -136,8 +136,8 @@
   reader.script = [&](Peer& peer, const http1::Request&) { asked.push_back(&peer); };
   http1::Client calls(loop, {});
   EngineTable engines;
-  engines[ServerId{1}].address = *net::parseEndpoint(reader.address());
-  Releases releases(loop, calls, engines, [](ServerId) {});
+  engines[EngineId{1}].address = *net::parseEndpoint(reader.address());
+  Releases releases(loop, calls, engines, [](EngineId) {});
   releases.begin("a");
   ASSERT_TRUE(within(0.1, [&] { return asked.size() == 1; }));
   pass(0.01);
--- a/tests/rule_audit.h
+++ b/tests/rule_audit.h
@@ -24,7 +24,7 @@
   explicit RuleAudit(RuleLimits limits) : limits_(limits) {}
 
   struct Life {
-    Effect effect = Effect::kSafe;
+    Idempotency effect = Idempotency::kIdempotent;
     double deadline = 0;
     double goneAt = -1;                 // when its client left
     double answeredAt = -1;             // when its final answer, or first event, came
@@ -39,7 +39,7 @@
   };
 
   // ---- What clients see ----
-  void asked(const std::string& id, Effect effect, double deadline) {
+  void asked(const std::string& id, Idempotency effect, double deadline) {
     Life& life = lives_[id];
     life.effect = effect;
     life.deadline = deadline;
@@ -51,7 +51,7 @@
     life.status = status;
     if (now > life.deadline + limits_.answerSlack) broken(id, "answered late");
     const bool refused = status == 503;
-    if (refused && life.effect == Effect::kUnsafe && life.mayHaveRun)
+    if (refused && life.effect == Idempotency::kAtMostOnce && life.mayHaveRun)
       broken(id, "refused though it may have run");
   }
   void eventsReached(const std::string& id, std::size_t count, double now) {
@@ -70,8 +70,9 @@
     if (life.answeredAt >= 0) broken(id, "sent on after its answer");
     if (now > life.deadline + limits_.answerSlack) broken(id, "sent on after its time");
     if (now > drainToldAt + limits_.drainGrace) broken(id, "sent to a draining engine");
-    if (life.mayHaveRun && life.effect == Effect::kUnsafe) broken(id, "sent again though it may have run");
-    if (life.mayHaveRun && life.effect == Effect::kKeyed && writes &&
+    if (life.mayHaveRun && life.effect == Idempotency::kAtMostOnce)
+      broken(id, "sent again though it may have run");
+    if (life.mayHaveRun && life.effect == Idempotency::kIdempotencyKey && writes &&
         now > life.firstRunAt + limits_.dedupWindow)
       broken(id, "sent again after its window");
     life.attemptOut = true;
--- a/tests/rule_guard_test.cpp
+++ b/tests/rule_guard_test.cpp
@@ -12,25 +12,25 @@
 
 constexpr RequestKey kRequest = 1;
 constexpr std::size_t kSafe = 0, kKeyed = 1, kUnsafe = 2, kKeyedInZone = 3;
-constexpr ServerId kReader{1}, kWriter{2}, kFarWriter{3};
+constexpr EngineId kReader{1}, kWriter{2}, kFarWriter{3};
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
 class RuleGuardTest : public ::testing::Test {
  protected:
   RuleGuardTest() : guard(settings()) {
-    guard.takeList({ServerList::Scope::kFull,
+    guard.takeList({EngineListUpdate::Scope::kSnapshot,
                     {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode, 0, 1)}});
   }
 
   static Settings settings() {
     Settings s;
-    s.pinLimit = Duration(1);
+    s.stateLeaseLimit = Duration(1);
     s.classes.resize(4);
-    s.classes[kKeyed].effect = s.classes[kKeyedInZone].effect = Effect::kKeyed;
+    s.classes[kKeyed].idempotency = s.classes[kKeyedInZone].idempotency = Idempotency::kIdempotencyKey;
     s.classes[kKeyed].dedupWindow = s.classes[kKeyedInZone].dedupWindow = Duration(2);
-    s.classes[kKeyedInZone].group = DedupGroup::kZone;
-    s.classes[kUnsafe].effect = Effect::kUnsafe;
+    s.classes[kKeyedInZone].dedupScope = DedupScope::kZone;
+    s.classes[kUnsafe].idempotency = Idempotency::kAtMostOnce;
     return s;
   }
   // A request with one attempt at a writer, sent at 1 s, that ended so.
@@ -42,7 +42,7 @@
   std::uint64_t counted(Violation violation) const {
     return guard.violations()[static_cast<std::size_t>(violation)];
   }
-  void expectRefusedBy(Violation violation, ServerId engine, double when) {
+  void expectRefusedBy(Violation violation, EngineId engine, double when) {
     EXPECT_EQ(guard.checkSend(at(when), kRequest, engine), violation);
     EXPECT_EQ(counted(violation), 1U);
     EXPECT_EQ(total(guard.violations()), 1U);
@@ -54,13 +54,13 @@
 TEST_F(RuleGuardTest, ASecondAttemptWhileOneIsOut) {
   guard.taken(kRequest, kSafe);
   guard.sent(at(1), kRequest, kReader, true);
-  expectRefusedBy(Violation::kOverlap, kWriter, 1.1);
+  expectRefusedBy(Violation::kConcurrentAttempts, kWriter, 1.1);
 }
 
 TEST_F(RuleGuardTest, AnAttemptAfterTheAnswer) {
   guard.taken(kRequest, kSafe);
   guard.answered(at(1), kRequest, at(2));
-  expectRefusedBy(Violation::kSentAfterAnswer, kReader, 1.1);
+  expectRefusedBy(Violation::kAttemptAfterResponse, kReader, 1.1);
 }
 
 TEST_F(RuleGuardTest, ASecondAnswerAndALateOne) {
@@ -68,14 +68,14 @@
   guard.answered(at(2.4), kRequest, at(2));
   EXPECT_EQ(total(guard.violations()), 0U);
   guard.answered(at(2.6), kRequest, at(2));
-  EXPECT_EQ(counted(Violation::kSecondAnswer), 1U);
-  EXPECT_EQ(counted(Violation::kLateAnswer), 1U);
+  EXPECT_EQ(counted(Violation::kSecondResponse), 1U);
+  EXPECT_EQ(counted(Violation::kLateResponse), 1U);
 }
 
 TEST_F(RuleGuardTest, AnUnsafeAttemptThatMayHaveRunIsNeitherRepeatedNorRefused) {
   tried(kUnsafe, Outcome::kTimeout);
-  expectRefusedBy(Violation::kRepeat, kWriter, 1.6);
-  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRefusedAfterRun);
+  expectRefusedBy(Violation::kDuplicateEffect, kWriter, 1.6);
+  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRejectedAfterStart);
 }
 
 TEST_F(RuleGuardTest, AnUnsafeAttemptThatNeverRanMayBeRepeatedAndRefused) {
@@ -95,31 +95,31 @@
   EXPECT_EQ(guard.checkRefusal(kRequest), std::nullopt) << "a read has no effect";
   guard.ended(at(1.1), kRequest, Outcome::kPrefilled);
   guard.sent(at(1.2), kRequest, kWriter, false);
-  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRefusedAfterRun);
+  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRejectedAfterStart);
 }
 
 TEST_F(RuleGuardTest, AKeyedRepeatOutsideItsWindowOrGroup) {
   tried(kKeyed, Outcome::kReset);
   EXPECT_EQ(guard.checkSend(at(2.9), kRequest, kFarWriter), std::nullopt);
-  expectRefusedBy(Violation::kRepeat, kWriter, 3.1);
+  expectRefusedBy(Violation::kDuplicateEffect, kWriter, 3.1);
   guard.forget(kRequest);
   tried(kKeyedInZone, Outcome::kReset);
   EXPECT_EQ(guard.checkSend(at(1.6), kRequest, kWriter), std::nullopt);
-  EXPECT_EQ(guard.checkSend(at(1.6), kRequest, kFarWriter), Violation::kRepeat);
-  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRefusedAfterRun)
+  EXPECT_EQ(guard.checkSend(at(1.6), kRequest, kFarWriter), Violation::kDuplicateEffect);
+  EXPECT_EQ(guard.checkRefusal(kRequest), Violation::kRejectedAfterStart)
       << "its retry may come to another zone";
 }
 
 TEST_F(RuleGuardTest, AnAttemptToAnEngineThatDrainsOrIsOffTheList) {
   guard.taken(kRequest, kSafe);
-  ServerEntry draining = server(1, Role::kPrefill), gone = server(2, Role::kDecode);
-  draining.state = ServerEntry::State::kDraining;
-  gone.state = ServerEntry::State::kGone;
-  guard.takeList({ServerList::Scope::kChanges, {draining, gone}});
-  for (const ServerId engine : {kReader, kWriter, ServerId{9}})
-    EXPECT_EQ(guard.checkSend(at(1), kRequest, engine), Violation::kSentToStopped);
+  EngineEntry draining = server(1, Role::kPrefill), gone = server(2, Role::kDecode);
+  draining.state = EngineEntry::State::kDraining;
+  gone.state = EngineEntry::State::kRemoved;
+  guard.takeList({EngineListUpdate::Scope::kDelta, {draining, gone}});
+  for (const EngineId engine : {kReader, kWriter, EngineId{9}})
+    EXPECT_EQ(guard.checkSend(at(1), kRequest, engine), Violation::kAttemptToDrainingEngine);
   EXPECT_EQ(guard.checkSend(at(1), kRequest, kFarWriter), std::nullopt);
-  guard.takeList({ServerList::Scope::kFailed, {}});
+  guard.takeList({EngineListUpdate::Scope::kFetchFailed, {}});
   EXPECT_EQ(guard.checkSend(at(1), kRequest, kFarWriter), std::nullopt) << "a failed call tells nothing";
 }
 
@@ -130,11 +130,11 @@
   EXPECT_EQ(total(guard.violations()), 0U);
   guard.stateHeld(at(2), kRequest);
   guard.stateFreed(at(3.1), kRequest);
-  EXPECT_EQ(counted(Violation::kPinned), 1U);
+  EXPECT_EQ(counted(Violation::kStateLeaseExpired), 1U);
   guard.stateHeld(at(4), kRequest);
   guard.stateTaken(kRequest);
   guard.stateFreed(at(6), kRequest);
-  EXPECT_EQ(counted(Violation::kPinned), 1U) << "a writer has it";
+  EXPECT_EQ(counted(Violation::kStateLeaseExpired), 1U) << "a writer has it";
 }
 
 // A send counts once it has arrived, and only an answer shows that it has.
@@ -148,7 +148,7 @@
     guard.sent(at(now + 0.1), kRequest, kWriter, false);
     guard.ended(at(now + 0.9), kRequest, outcome);
     guard.stateFreed(at(now + 1.8), kRequest);
-    return counted(Violation::kPinned);
+    return counted(Violation::kStateLeaseExpired);
   };
   std::uint64_t expected = 0;
   for (const Outcome outcome : {Outcome::kRejected, Outcome::kError})
@@ -163,7 +163,7 @@
   guard.stateHeld(at(1), kRequest);
   guard.sent(at(1.1), kRequest, kWriter, false);
   guard.stateFreed(at(2.2), kRequest);
-  EXPECT_EQ(counted(Violation::kPinned), 1U);
+  EXPECT_EQ(counted(Violation::kStateLeaseExpired), 1U);
 }
 
 TEST_F(RuleGuardTest, TellsItsCountsByName) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 std::size_t answers(const std::vector<Action>& actions) {
-  return only<Refuse>(actions).size() + only<Fail>(actions).size();
+  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
 }
 
 TEST(NoLostRequest, AnsweredBeforeTheClientsTimeWithAnAttemptOut) {
@@ -23,15 +23,15 @@
   host.run(1.1 + 0.8);
   EXPECT_EQ(answers(host.all), 1U);
   EXPECT_FALSE(only<Release>(host.all).empty());
-  EXPECT_TRUE(only<Send>(host.ended(1.95, "a", 1, Outcome::kTimeout)).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.ended(1.95, "a", 1, Outcome::kTimeout)).empty());
 }
 
 // A client that has all but given up: there is no time for another step, so the answer comes in this one.
 TEST(NoLostRequest, AnswersAtOnceWhatComesTooLate) {
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-  EXPECT_EQ(only<Refuse>(host.request(1.1, "late", 100, 0)).size(), 1U);
-  EXPECT_TRUE(only<Send>(host.run(2)).empty());
+  EXPECT_EQ(only<RejectRequest>(host.request(1.1, "late", 100, 0)).size(), 1U);
+  EXPECT_TRUE(only<StartAttempt>(host.run(2)).empty());
 }
 
 TEST(NoLostRequest, HousekeepingGoesOnWhenTheHostRoundsItsTimers) {
@@ -44,11 +44,11 @@
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   host.request(1.1, "a");
-  host.feed(1.15, ClientGone{{"a"}});
-  EXPECT_EQ(only<Cancel>(host.last).size(), 1U);
+  host.feed(1.15, ClientDisconnected{{"a"}});
+  EXPECT_EQ(only<CancelAttempt>(host.last).size(), 1U);
   host.ended(1.2, "a", 1, Outcome::kPrefilled);
   EXPECT_EQ(only<Release>(host.last).size(), 1U);
-  EXPECT_TRUE(only<Send>(host.last).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
 }
 
 TEST(NoLostRequest, UnknownIdsArePassedOver) {
@@ -56,41 +56,41 @@
   host.list(1, {server(1, Role::kPrefill)});
   EXPECT_TRUE(host.ended(1.1, "never", 1, Outcome::kPrefilled).empty());
   EXPECT_TRUE(host.streams(1.1, "never", 1).empty());
-  EXPECT_TRUE(host.feed(1.1, ClientGone{{"never"}}).empty());
+  EXPECT_TRUE(host.feed(1.1, ClientDisconnected{{"never"}}).empty());
 }
 
-Settings effectSettings(Effect effect, DedupGroup group) {
+Settings effectSettings(Idempotency effect, DedupScope group) {
   Settings s = twoStageSettings();
-  s.classes[0].effect = effect;
-  s.classes[0].group = group;
+  s.classes[0].idempotency = effect;
+  s.classes[0].dedupScope = group;
   s.classes[0].dedupWindow = Duration(1);
   return s;
 }
 
 TEST(NoEffectTwice, UnsafeIsFailedAfterAWriterMayHaveRun) {
-  Host host(effectSettings(Effect::kUnsafe, DedupGroup::kAll));
+  Host host(effectSettings(Idempotency::kAtMostOnce, DedupScope::kAll));
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
   host.ended(1.3, "a", writer, Outcome::kReset);
-  EXPECT_TRUE(only<Send>(host.last).empty());
-  EXPECT_EQ(only<Fail>(host.last).size(), 1U);
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
+  EXPECT_EQ(only<FailRequest>(host.last).size(), 1U);
   EXPECT_EQ(only<Release>(host.last).size(), 1U);
 }
 
 // What is out proves nothing until it has ended, be it a read that can have no effect.
 TEST(NoEffectTwice, UnsafeIsNotRefusedWhileAReadIsOut) {
-  Host host(effectSettings(Effect::kUnsafe, DedupGroup::kAll));
+  Host host(effectSettings(Idempotency::kAtMostOnce, DedupScope::kAll));
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   host.request(1.1, "a", 1000, 0.5);
-  ASSERT_EQ(only<Send>(host.all).size(), 1U);
+  ASSERT_EQ(only<StartAttempt>(host.all).size(), 1U);
   host.run(1.6);
-  EXPECT_TRUE(only<Refuse>(host.all).empty());
-  EXPECT_EQ(only<Fail>(host.all).size(), 1U);
+  EXPECT_TRUE(only<RejectRequest>(host.all).empty());
+  EXPECT_EQ(only<FailRequest>(host.all).size(), 1U);
 }
 
 TEST(NoEffectTwice, UnsafeGoesAgainWhenProvedNotRun) {
-  Host host(effectSettings(Effect::kUnsafe, DedupGroup::kAll));
+  Host host(effectSettings(Idempotency::kAtMostOnce, DedupScope::kAll));
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
@@ -98,78 +98,78 @@
 }
 
 TEST(NoEffectTwice, KeyedStaysInItsCellAndIsNotRefused) {
-  Host host(effectSettings(Effect::kKeyed, DedupGroup::kCell));
+  Host host(effectSettings(Idempotency::kIdempotencyKey, DedupScope::kCell));
   host.list(1, {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 0), server(3, Role::kDecode, 1)});
   host.request(1.1, "a");
   EXPECT_EQ(sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled)), 2U);
   host.ended(1.3, "a", 2, Outcome::kError);
-  for (const Send& send : only<Send>(host.last)) EXPECT_EQ(send.server.value, 2U);
+  for (const StartAttempt& send : only<StartAttempt>(host.last)) EXPECT_EQ(send.engine.value, 2U);
   host.run(5.2);
-  for (const Send& send : only<Send>(host.all)) EXPECT_NE(send.server.value, 3U);
-  EXPECT_TRUE(only<Refuse>(host.all).empty());
+  for (const StartAttempt& send : only<StartAttempt>(host.all)) EXPECT_NE(send.engine.value, 3U);
+  EXPECT_TRUE(only<RejectRequest>(host.all).empty());
 }
 
 TEST(NoEffectTwice, KeyedIsNotSentAfterItsWindow) {
-  Host host(effectSettings(Effect::kKeyed, DedupGroup::kAll));
+  Host host(effectSettings(Idempotency::kIdempotencyKey, DedupScope::kAll));
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
   host.ended(2.3, "a", writer, Outcome::kError);  // 1.1 s after that send, past the window of 1 s
-  EXPECT_TRUE(only<Send>(host.last).empty()) << "not even to a reader";
-  EXPECT_EQ(only<Refuse>(host.last).size(), 1U) << "given up, so answered at once";
-  EXPECT_TRUE(only<Send>(host.run(5.2)).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty()) << "not even to a reader";
+  EXPECT_EQ(only<RejectRequest>(host.last).size(), 1U) << "given up, so answered at once";
+  EXPECT_TRUE(only<StartAttempt>(host.run(5.2)).empty());
 }
 
 // A send may leave as late as its connection takes to come up: that, too, has to be within the window.
 TEST(NoEffectTwice, KeyedLeavesWithinItsWindowThoughItsConnectionTakesTime) {
   for (const double dial : {0.0, 0.25}) {
-    Settings settings = effectSettings(Effect::kKeyed, DedupGroup::kAll);
+    Settings settings = effectSettings(Idempotency::kIdempotencyKey, DedupScope::kAll);
     settings.connectTimeout = Duration(dial);
-    settings.pinLimit = Duration(0);  // its state still waits then
+    settings.stateLeaseLimit = Duration(0);  // its state still waits then
     Host host(settings);
     host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
     host.ended(2.0, "a", writer, Outcome::kError);  // 0.8 s after that send, of a window of 1 s
-    EXPECT_EQ(only<Send>(host.last).size(), dial > 0 ? 0U : 1U);
+    EXPECT_EQ(only<StartAttempt>(host.last).size(), dial > 0 ? 0U : 1U);
   }
 }
 
 // A machine may be held up between the decision and the write.
 TEST(NoEffectTwice, KeyedLeavesWithinItsWindowThoughTheMachineIsHeldUp) {
   for (const double failsAfter : {0.8, 0.9}) {
-    Settings settings = effectSettings(Effect::kKeyed, DedupGroup::kAll);
-    settings.pinLimit = Duration(0);  // its state still waits then
+    Settings settings = effectSettings(Idempotency::kIdempotencyKey, DedupScope::kAll);
+    settings.stateLeaseLimit = Duration(0);  // its state still waits then
     Host host(settings);
     host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
     host.ended(1.2 + failsAfter, "a", writer, Outcome::kError);
-    EXPECT_EQ(only<Send>(host.last).size(), failsAfter > 0.85 ? 0U : 1U);
+    EXPECT_EQ(only<StartAttempt>(host.last).size(), failsAfter > 0.85 ? 0U : 1U);
   }
 }
 
 // A request is finished under the class that it was taken with, whatever comes into service meanwhile.
 TEST(NoEffectTwice, NewSettingsInServiceDoNotLoosenTheClassOfWhatIsOut) {
-  Host host(effectSettings(Effect::kUnsafe, DedupGroup::kAll));
+  Host host(effectSettings(Idempotency::kAtMostOnce, DedupScope::kAll));
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t writer = sentTo(host.ended(1.2, "a", 1, Outcome::kPrefilled));
-  Settings moved = effectSettings(Effect::kUnsafe, DedupGroup::kAll);
+  Settings moved = effectSettings(Idempotency::kAtMostOnce, DedupScope::kAll);
   moved.classes[0].inService = false;
   moved.classes.push_back(twoStageSettings().classes[0]);
-  moved.nodes = 150;
+  moved.routerCount = 150;
   moved.tenants = {{1, 10}};
   host.feed(1.25, SettingsChanged{moved});
-  EXPECT_TRUE(only<Send>(host.last).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
   host.ended(1.3, "a", writer, Outcome::kReset);
-  EXPECT_TRUE(only<Send>(host.last).empty());
-  EXPECT_EQ(only<Fail>(host.last).size(), 1U);
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
+  EXPECT_EQ(only<FailRequest>(host.last).size(), 1U);
   RequestArrived fresh;
   fresh.id = {"b"};
   fresh.classIndex = 1;
   fresh.tenant = 0;
-  fresh.timeLeft = Duration(4);
+  fresh.timeUntilDeadline = Duration(4);
   fresh.promptTokens = 500;
   EXPECT_NE(sentTo(host.feed(1.4, fresh)), 0U);
 }
@@ -177,36 +177,36 @@
 TEST(Drains, NothingNewFromTheMomentTheNodeIsTold) {
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
-  ServerEntry draining = server(1, Role::kPrefill);
-  draining.state = ServerEntry::State::kDraining;
-  host.list(1.1, {draining}, ServerList::Scope::kChanges);
+  EngineEntry draining = server(1, Role::kPrefill);
+  draining.state = EngineEntry::State::kDraining;
+  host.list(1.1, {draining}, EngineListUpdate::Scope::kDelta);
   for (int i = 0; i < 20; ++i) {
     host.request(1.2, "r" + std::to_string(i), 100);
-    for (const Send& send : only<Send>(host.last)) EXPECT_EQ(send.server.value, 2U);
+    for (const StartAttempt& send : only<StartAttempt>(host.last)) EXPECT_EQ(send.engine.value, 2U);
   }
   host.list(1.3, {server(3, Role::kDecode)});  // a full list without the readers: they are gone
   host.request(1.4, "x", 100);
-  EXPECT_TRUE(only<Send>(host.last).empty());
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
 }
 
 TEST(Drains, FailedListKeepsTheOldOneAndAsksAgain) {
   Settings settings = twoStageSettings();
-  settings.askDiscovery = true;
+  settings.subscribeToDiscovery = true;
   Host host(settings);
-  host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)}, ServerList::Scope::kSaved);
-  EXPECT_EQ(only<SubscribeServers>(host.last).size(), 1U);
-  host.list(1.1, {}, ServerList::Scope::kFailed);
+  host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  EXPECT_EQ(only<SubscribeToEngineList>(host.last).size(), 1U);
+  host.list(1.1, {}, EngineListUpdate::Scope::kFetchFailed);
   const auto timers = only<SetTimer>(host.last);
   ASSERT_EQ(timers.size(), 1U);
   EXPECT_EQ(sentTo(host.request(1.2, "a")), 1U);
-  host.feed(timers[0].at.time_since_epoch().count(), TimerFired{timers[0].token});
-  EXPECT_EQ(only<SubscribeServers>(host.last).size(), 1U);
+  host.feed(timers[0].at.time_since_epoch().count(), TimerFired{timers[0].timer});
+  EXPECT_EQ(only<SubscribeToEngineList>(host.last).size(), 1U);
   EXPECT_TRUE(only<SetTimer>(host.last).empty()) << "housekeeping keeps its own pace";
 }
 
 TEST(ColdServer, SendsInAnyWindowStayWithinTheBudget) {
   Settings settings = twoStageSettings();
-  settings.classes[0].aim = Duration(100);
+  settings.classes[0].ttftObjective = Duration(100);
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   for (int i = 0; i < 100; ++i) {  // a warm reader takes 20 a second from us
@@ -216,13 +216,13 @@
     host.streams(1.13 + i * 0.05, id, 2);
     host.ended(1.14 + i * 0.05, id, 2, Outcome::kOk, true);
   }
-  ServerEntry cold = server(9, Role::kPrefill);
+  EngineEntry cold = server(9, Role::kPrefill);
   cold.startedAt = Instant(Duration(6.2));
-  host.list(6.2, {cold}, ServerList::Scope::kChanges);
+  host.list(6.2, {cold}, EngineListUpdate::Scope::kDelta);
   int sends = 0;
   for (int i = 0; i < 200; ++i) {  // within its first 2 s, at 100 a second
     host.request(6.2 + i * 0.01, "c" + std::to_string(i), 100);
-    for (const Send& send : only<Send>(host.last)) sends += send.server.value == 9;
+    for (const StartAttempt& send : only<StartAttempt>(host.last)) sends += send.engine.value == 9;
   }
   EXPECT_GT(sends, 0);
   // At its start it does 0.3 of 20 a second; 2.5 times that for 2 s are 30, growing a little as it warms.
@@ -231,21 +231,21 @@
 
 TEST(ColdServer, NodeThatKnowsNothingSendsOneAWindow) {
   Host host(twoStageSettings());
-  ServerEntry cold = server(1, Role::kPrefill);
+  EngineEntry cold = server(1, Role::kPrefill);
   cold.startedAt = Instant(Duration(0.9));
-  host.list(1, {cold, server(2, Role::kDecode)}, ServerList::Scope::kSaved);
+  host.list(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 10; ++i) host.request(1.1 + i * 0.01, "r" + std::to_string(i), 100);
-  EXPECT_EQ(only<Send>(host.all).size(), 1U);
+  EXPECT_EQ(only<StartAttempt>(host.all).size(), 1U);
 }
 
 // A rolling restart with six nodes: few servers are warm, so what a warm one takes now says little about what
 // a cold one can do.
 TEST(ColdServer, RollingRestartDoesNotRaiseTheBudget) {
   Settings settings = twoStageSettings();
-  settings.classes[0].aim = Duration(100);
-  settings.nodes = 6;
+  settings.classes[0].ttftObjective = Duration(100);
+  settings.routerCount = 6;
   Host host(settings);
-  std::vector<ServerEntry> entries = {server(1, Role::kPrefill), server(9, Role::kDecode)};
+  std::vector<EngineEntry> entries = {server(1, Role::kPrefill), server(9, Role::kDecode)};
   for (std::uint32_t id = 2; id <= 4; ++id) {
     entries.push_back(server(id, Role::kPrefill));
     entries.back().startedAt = Instant(Duration(6 + id * 0.1));
@@ -253,7 +253,7 @@
   host.list(1, {entries[0], entries[1]});
   int sends = 0;
   for (int i = 0; i < 400; ++i) {  // 40 a second, all to the only warm reader until the others start
-    if (i == 240) host.list(7, {entries[2], entries[3], entries[4]}, ServerList::Scope::kChanges);
+    if (i == 240) host.list(7, {entries[2], entries[3], entries[4]}, EngineListUpdate::Scope::kDelta);
     const double at = 1 + i * 0.025;
     const std::string id = "r" + std::to_string(i);
     const std::uint32_t reader = sentTo(host.request(at, id, 100));
@@ -270,13 +270,13 @@
 
 TEST(ColdServer, ManyNodesThatKnowNothingSendFewTogether) {
   Settings settings = twoStageSettings();
-  settings.nodes = 6;
-  ServerEntry cold = server(1, Role::kPrefill);
+  settings.routerCount = 6;
+  EngineEntry cold = server(1, Role::kPrefill);
   cold.startedAt = Instant(Duration(0.9));
   Host host(settings);
-  host.list(1, {cold, server(2, Role::kDecode)}, ServerList::Scope::kSaved);
+  host.list(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 50; ++i) host.request(1.1 + i * 0.1, "r" + std::to_string(i), 100, 10);
-  EXPECT_LE(only<Send>(host.all).size(), 1U) << "a third of a request in each window of 2 s";
+  EXPECT_LE(only<StartAttempt>(host.all).size(), 1U) << "a third of a request in each window of 2 s";
 }
 
 // The wall clock by which a start is told may have been stepped, here or where it was written: the word of a
@@ -284,19 +284,19 @@
 TEST(ColdServer, AStartToldAnHourOffIsTakenAsJustNow) {
   for (const double off : {-3600.0, 3600.0}) {
     Settings settings = twoStageSettings();
-    settings.classes[0].aim = Duration(100);
+    settings.classes[0].ttftObjective = Duration(100);
     Host host(settings);
-    host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)}, ServerList::Scope::kSaved);
+    host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
     host.list(1.5, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-    ServerEntry fresh = server(1, Role::kPrefill);
+    EngineEntry fresh = server(1, Role::kPrefill);
     fresh.startedAt = Instant(Duration(20 + off));
     host.run(20);
-    host.list(20, {fresh}, ServerList::Scope::kChanges);
+    host.list(20, {fresh}, EngineListUpdate::Scope::kDelta);
     const auto sendsFrom = [&](double at) {
       int sends = 0;
       for (int i = 0; i < 10; ++i) {
         const std::string id = "r" + std::to_string(at) + "-" + std::to_string(i);
-        sends += static_cast<int>(only<Send>(host.request(at + i * 0.01, id, 100, 90)).size());
+        sends += static_cast<int>(only<StartAttempt>(host.request(at + i * 0.01, id, 100, 90)).size());
       }
       return sends;
     };
@@ -310,17 +310,18 @@
 // may come together.
 TEST(ColdServer, NodesThatHearOfItTogetherDoNotAllGreetIt) {
   Settings settings = twoStageSettings();
-  settings.nodes = 300;
-  ServerEntry cold = server(1, Role::kPrefill);
+  settings.routerCount = 300;
+  EngineEntry cold = server(1, Role::kPrefill);
   cold.startedAt = Instant(Duration(0.9));
   int sends = 0, later = 0;
-  for (int node = 0; node < settings.nodes; ++node) {
+  for (int node = 0; node < settings.routerCount; ++node) {
     settings.seed = 1000 + static_cast<std::uint64_t>(node);
     Host host(settings);
-    host.list(1, {cold, server(2, Role::kDecode)}, ServerList::Scope::kSaved);
+    host.list(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
     for (int i = 0; i < 45; ++i) {
       host.request(1.1 + i * 0.2, "r" + std::to_string(i), 100, 10);
-      const std::size_t now = only<Send>(host.last).size() + only<Send>(host.tick(1.15 + i * 0.2)).size();
+      const std::size_t now =
+          only<StartAttempt>(host.last).size() + only<StartAttempt>(host.tick(1.15 + i * 0.2)).size();
       (host.now < 3 ? sends : later) += static_cast<int>(now);
     }
   }
@@ -331,7 +332,7 @@
 // A writer that cannot be reached has taken nothing: the time of the state goes on from the end of its read.
 TEST(Pinned, CallsThatNeverCameUpDoNotLengthenTheHold) {
   Settings settings = twoStageSettings();
-  settings.pinLimit = Duration(0.4);
+  settings.stateLeaseLimit = Duration(0.4);
   settings.connectTimeout = Duration(0.25);
   Host host(settings);
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
@@ -340,16 +341,17 @@
   ASSERT_NE(writer, 0U);
   host.ended(1.45, "a", writer, Outcome::kConnectFailed);
   EXPECT_EQ(only<Release>(host.last).size(), 1U);
-  for (const Send& send : only<Send>(host.last)) EXPECT_EQ(send.server.value, 1U) << "it is read anew";
+  for (const StartAttempt& send : only<StartAttempt>(host.last))
+    EXPECT_EQ(send.engine.value, 1U) << "it is read anew";
 }
 
 TEST(Pinned, StateWithoutAWriterIsLetGoWithinTheLimit) {
   Host host(twoStageSettings());
   host.list(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   host.request(1.1, "a");
-  ServerEntry gone = server(2, Role::kDecode);
-  gone.state = ServerEntry::State::kGone;
-  host.list(1.15, {gone}, ServerList::Scope::kChanges);
+  EngineEntry gone = server(2, Role::kDecode);
+  gone.state = EngineEntry::State::kRemoved;
+  host.list(1.15, {gone}, EngineListUpdate::Scope::kDelta);
   host.ended(1.2, "a", 1, Outcome::kPrefilled);
   const auto seen = host.run(1.2 + 0.5);
   EXPECT_EQ(only<Release>(seen).size(), 1U);
@@ -363,7 +365,7 @@
 
   void play() {
     for (std::uint32_t id = 1; id <= 8; ++id) entries_.push_back(server(id, role(id), id % 2, id % 3));
-    check(host_.list(now_, entries_, ServerList::Scope::kSaved));
+    check(host_.list(now_, entries_, EngineListUpdate::Scope::kCached));
     for (int step = 0; step < 6000; ++step) {
       now_ += 0.004;
       if (draw(100) < 12 && step < 5000) arrive();
@@ -384,17 +386,17 @@
     double until = 0;
     bool arrived = false;  // the attempt that is out has reached its server
     bool mayHaveRun = false;
-    Effect effect = Effect::kSafe;
+    Idempotency effect = Idempotency::kIdempotent;
   };
 
   static Settings make(std::mt19937& random) {
     Settings s = twoStageSettings();
     s.cancelAllowed = random() % 2 == 0;
     s.classes.resize(3, s.classes[0]);
-    s.classes[1].effect = Effect::kKeyed;
-    s.classes[1].group = DedupGroup::kCell;
+    s.classes[1].idempotency = Idempotency::kIdempotencyKey;
+    s.classes[1].dedupScope = DedupScope::kCell;
     s.classes[1].dedupWindow = Duration(1.5);
-    s.classes[2].effect = Effect::kUnsafe;
+    s.classes[2].idempotency = Idempotency::kAtMostOnce;
     return s;
   }
 
@@ -407,22 +409,22 @@
     RequestArrived r;
     r.id = {"q" + std::to_string(count_++)};
     r.classIndex = static_cast<std::size_t>(draw(3));
-    r.timeLeft = Duration(0.3 + draw(30) * 0.1);
+    r.timeUntilDeadline = Duration(0.3 + draw(30) * 0.1);
     r.promptTokens = 100 + draw(4000);
-    r.session = static_cast<std::uint64_t>(draw(40));
+    r.sessionKey = static_cast<std::uint64_t>(draw(40));
     r.maxOutputTokens = 200;
-    requests_[r.id.value].deadline = now_ + r.timeLeft.count();
-    requests_[r.id.value].effect = settings_.classes[r.classIndex].effect;
+    requests_[r.id.value].deadline = now_ + r.timeUntilDeadline.count();
+    requests_[r.id.value].effect = settings_.classes[r.classIndex].idempotency;
     check(host_.feed(now_, r));
   }
 
   void changeServer() {
-    ServerEntry& e = entries_[static_cast<std::size_t>(draw(8))];
-    const bool serving = e.state == ServerEntry::State::kServing;
-    e.state = serving ? (draw(2) ? ServerEntry::State::kDraining : ServerEntry::State::kGone)
-                      : ServerEntry::State::kServing;
+    EngineEntry& e = entries_[static_cast<std::size_t>(draw(8))];
+    const bool serving = e.state == EngineEntry::State::kServing;
+    e.state = serving ? (draw(2) ? EngineEntry::State::kDraining : EngineEntry::State::kRemoved)
+                      : EngineEntry::State::kServing;
     if (!serving) e.startedAt = Instant(Duration(now_ - 0.5));
-    check(host_.list(now_, {e}, ServerList::Scope::kChanges));
+    check(host_.list(now_, {e}, EngineListUpdate::Scope::kDelta));
   }
 
   void answerAttempts() {
@@ -433,7 +435,7 @@
     for (const std::string& id : due) answer(id, requests_[id]);
     for (const auto& [id, r] : requests_) {
       if (r.held && !(r.out && r.arrived)) {  // one that has not arrived is not out
-        EXPECT_LT(now_ - r.heldSince, settings_.pinLimit.count()) << id;
+        EXPECT_LT(now_ - r.heldSince, settings_.stateLeaseLimit.count()) << id;
       }
       if (!r.over && !r.streaming) {
         EXPECT_LT(now_, r.deadline) << id;
@@ -477,15 +479,15 @@
 
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) sent(*send);
+      if (const auto* send = std::get_if<StartAttempt>(&action)) sent(*send);
       if (const auto* release = std::get_if<Release>(&action)) released(requests_[release->id.value]);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
         Open& r = requests_[refuse->id.value];
         const bool ran = r.mayHaveRun || (r.out && role(r.to) != Role::kPrefill);
-        EXPECT_TRUE(r.effect == Effect::kSafe || !ran) << "refused though it may have run";
+        EXPECT_TRUE(r.effect == Idempotency::kIdempotent || !ran) << "refused though it may have run";
         ended(refuse->id.value);
       }
-      if (const auto* fail = std::get_if<Fail>(&action)) ended(fail->id.value);
+      if (const auto* fail = std::get_if<FailRequest>(&action)) ended(fail->id.value);
     }
   }
 
@@ -495,22 +497,22 @@
     if (!waitsThere) r.held = false;
   }
 
-  void sent(const Send& send) {
+  void sent(const StartAttempt& send) {
     Open& r = requests_[send.id.value];
-    const ServerEntry& to = entries_[send.server.value - 1];
+    const EngineEntry& to = entries_[send.engine.value - 1];
     EXPECT_FALSE(r.over) << "sent after its end";
     EXPECT_FALSE(r.out) << "a second attempt at once";
-    EXPECT_EQ(to.state, ServerEntry::State::kServing);
+    EXPECT_EQ(to.state, EngineEntry::State::kServing);
     EXPECT_LE(++r.sends, settings_.maxAttempts);
     EXPECT_GT(send.timeout.count(), 0);
-    if (r.mayHaveRun && r.effect != Effect::kSafe) {
-      EXPECT_EQ(r.effect, Effect::kKeyed) << "an unsafe request went out again";
+    if (r.mayHaveRun && r.effect != Idempotency::kIdempotent) {
+      EXPECT_EQ(r.effect, Idempotency::kIdempotencyKey) << "an unsafe request went out again";
       EXPECT_EQ(to.cell, r.ranCell);
       EXPECT_LE(now_, r.firstRun + 1.5);
     }
     if (role(to.id.value) != Role::kPrefill && (r.firstRun < 0 || !r.mayHaveRun)) r.firstRun = now_;
     r.out = true;
-    r.to = send.server.value;
+    r.to = send.engine.value;
     r.arrived = draw(6) > 0;
     r.until = now_ + std::min(send.timeout.count(), 0.02 + draw(r.arrived ? 20 : 90) * 0.02);
   }
@@ -524,7 +526,7 @@
   std::mt19937 random_;
   Settings settings_;
   Host host_;
-  std::vector<ServerEntry> entries_;
+  std::vector<EngineEntry> entries_;
   std::map<std::string, Open> requests_;
   double now_ = 1;
   int count_ = 0, served_ = 0;
--- a/tests/stepped_time.h
+++ b/tests/stepped_time.h
@@ -144,7 +144,7 @@
   // All that can happen without time going by.
   void settle() {
     for (int quiet = 0; quiet < 2;) {
-      const bool busy = loop.step(Duration(0));
+      const bool busy = loop.runOnce(Duration(0));
       barrier_.pass();
       quiet = busy ? 0 : quiet + 1;
     }
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -34,7 +34,7 @@
     std::string body;
     http1::ResponseParser parser(
         http1::Limits{}, {[](const http1::ResponseHead&) {}, [&](std::string_view bytes) { body += bytes; }});
-    EXPECT_NE(parser.take(answer), http1::State::kBad);
+    EXPECT_NE(parser.take(answer), http1::ParseState::kMalformed);
     return body;
   }
 };
@@ -109,7 +109,7 @@
   sendLittleTowards(slow);
   slow.send(ask("slow"));
   pass(0.1);
-  ASSERT_EQ(writing().connection.pending(), 0U);
+  ASSERT_EQ(writing().connection.pendingBytes(), 0U);
   writing().connection.close();
   pass(1);
   std::string got;
@@ -118,7 +118,7 @@
     pass(0.005);
   }
   EXPECT_NE(got.find("\r\n0\r\n\r\n"), std::string::npos);
-  EXPECT_EQ(node->core().counts().served, 1U);
+  EXPECT_EQ(node->core().counters().served, 1U);
 }
 
 // ---- Answers that do not end ----
@@ -302,7 +302,7 @@
   std::size_t sent = 0;
   for (int i = 0; i < 100; ++i) sent += flood.send(bytes);
   ASSERT_GT(sent, 2 * net::Connection::kReadBudget);
-  loop.step(Duration(0));
+  loop.runOnce(Duration(0));
   EXPECT_LE(owner.got, net::Connection::kReadBudget);
   EXPECT_GT(owner.got, 0U);
   flood.close();
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -33,16 +33,16 @@
 };
 
 // Counts what it is told.
-class CountingSink final : public http1::CallSink {
+class CountingSink final : public http1::ResponseHandler {
  public:
-  void head(const http1::ResponseHead&) override {}
-  void body(std::string_view) override {}
-  void end(http1::End how, const std::string&) override {
+  void onHead(const http1::ResponseHead&) override {}
+  void onBody(std::string_view) override {}
+  void onEnd(http1::CallResult how, const std::string&) override {
     last = how;
     ++ends;
   }
   int ends = 0;
-  http1::End last = http1::End::kWhole;
+  http1::CallResult last = http1::CallResult::kComplete;
 };
 
 TEST_F(SystemCallsTest, AnAcceptedConnectionThatCannotBeWatchedAtOnceIsAnswered) {
@@ -61,12 +61,12 @@
 TEST_F(SystemCallsTest, ALoopThatCannotWatchItsWakeUpAtOnceHearsPostsLater) {
   fail(FaultyCall::kWatch, ENOMEM, 3);
   net::Loop late;
-  for (int i = 0; i < 2000 && late.failedWatches() < 3; ++i) late.step(Duration(0.01));
+  for (int i = 0; i < 2000 && late.failedWatches() < 3; ++i) late.runOnce(Duration(0.01));
   EXPECT_EQ(late.failedWatches(), 3U);
-  late.step(Duration(0.1));  // tried once more, and taken
+  late.runOnce(Duration(0.1));  // tried once more, and taken
   late.post([] {});
   const Instant before = net::monotonicNow();
-  late.step(Duration(kBound));
+  late.runOnce(Duration(kBound));
   EXPECT_LT(net::monotonicNow() - before, Duration(kBound / 2)) << "the post has woken it";
 }
 
@@ -96,7 +96,7 @@
       {"127.0.0.1", 1}, [] { return std::string(); }, nullptr, sink);
   pass(0.1);
   EXPECT_EQ(sink->ends, 1);
-  EXPECT_EQ(sink->last, http1::End::kNotConnected);
+  EXPECT_EQ(sink->last, http1::CallResult::kNotConnected);
   client.cancel(call);
   pass(0.1);
   EXPECT_EQ(sink->ends, 1);
@@ -171,11 +171,11 @@
     ASSERT_TRUE(late.connect(server.port()));
     late.send("GET / HTTP/1.1\r\n\r\n");
     fail(FaultyCall::kAccept, error, 2);
-    server.end();
+    server.shutdown();
     pass(0.5);
     EXPECT_EQ(late.receive().substr(0, 12), "HTTP/1.1 503") << error;
     late.close();
-    EXPECT_TRUE(within(2, [&] { return server.busy() == 0; })) << error;
+    EXPECT_TRUE(within(2, [&] { return server.busyCount() == 0; })) << error;
     heal();
   }
 }
--- a/tests/watch_endings_test.cpp
+++ b/tests/watch_endings_test.cpp
@@ -30,7 +30,7 @@
     for (const auto& peer : from.peers) {
       if (!peer->closed && !silent && peer->got.empty()) peer->send(chunkOf("\n"));
     }
-    loop.after(Duration(2), [this, &from] { emptyLines(from); });
+    loop.runAfter(Duration(2), [this, &from] { emptyLines(from); });
   }
   // The change is made, and open watches do not hear of it.
   void drainUnheard() {
@@ -134,14 +134,14 @@
   start();
   ASSERT_TRUE(told(1));
   Scripted other(loop, [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
-  other.listener.refuse(true);
+  other.listener.rejectConnections(true);
   Json fresh = file();
   fresh["discovery"] = other.address();
   node->reload(configurationOf(fresh));
   breakWatches(true);
   drainUnheard();
   pass(1);
-  other.listener.refuse(false);
+  other.listener.rejectConnections(false);
   EXPECT_TRUE(told(kToldAfterReload));
   expectNothingGoesToTheWriter();
   node.reset();
@@ -155,10 +155,10 @@
     ASSERT_TRUE(told(1));
     silent = true;
     breakWatches(true);
-    discovery.listener.refuse(true);
+    discovery.listener.rejectConnections(true);
     drainUnheard();
     pass(away);
-    discovery.listener.refuse(false);
+    discovery.listener.rejectConnections(false);
     silent = false;
     EXPECT_TRUE(told(kToldWithin)) << away;
     expectNothingGoesToTheWriter();
--- a/wirehost/wire.cpp
+++ b/wirehost/wire.cpp
@@ -30,23 +30,23 @@
 
 int attemptNumber(const Json& fields) { return static_cast<int>(integer(fields, "sendNo", 0, 1U << 30)); }
 
-ServerId serverId(const Json& fields) {
+EngineId serverId(const Json& fields) {
   return {static_cast<std::uint32_t>(asUnsigned(need(fields, "engine"), "engine", 0xffffffffU))};
 }
 
 RequestId requestId(const Json& fields) { return {text(fields, "tid")}; }
 
-ServerEntry readEntry(const Json& entry, const Names& names) {
+EngineEntry readEntry(const Json& entry, const Names& names) {
   if (!entry.is_object()) wrongType("lines", "an array of objects");
-  ServerEntry s;
+  EngineEntry s;
   s.id = serverId(entry);
   const std::string status = text(entry, "status");
   if (status == "SERVING") {
-    s.state = ServerEntry::State::kServing;
+    s.state = EngineEntry::State::kServing;
   } else if (status == "DRAINING") {
-    s.state = ServerEntry::State::kDraining;
+    s.state = EngineEntry::State::kDraining;
   } else if (status == "DELETED") {
-    s.state = ServerEntry::State::kGone;
+    s.state = EngineEntry::State::kRemoved;
   } else {
     throw Malformed("unknown status '" + status + "'");
   }
@@ -57,15 +57,15 @@
   return s;
 }
 
-ServerList readList(const Json& fields, const Names& names) {
-  static const std::map<std::string, ServerList::Scope> kScopes = {
-      {"INCREMENTAL", ServerList::Scope::kChanges},
-      {"FULL", ServerList::Scope::kFull},
-      {"SAVED", ServerList::Scope::kSaved},
-      {"FAILED", ServerList::Scope::kFailed}};
+EngineListUpdate readList(const Json& fields, const Names& names) {
+  static const std::map<std::string, EngineListUpdate::Scope> kScopes = {
+      {"INCREMENTAL", EngineListUpdate::Scope::kDelta},
+      {"FULL", EngineListUpdate::Scope::kSnapshot},
+      {"SAVED", EngineListUpdate::Scope::kCached},
+      {"FAILED", EngineListUpdate::Scope::kFetchFailed}};
   const auto scope = kScopes.find(text(fields, "scope"));
   if (scope == kScopes.end()) throw Malformed("unknown scope '" + text(fields, "scope") + "'");
-  ServerList result{scope->second, {}};
+  EngineListUpdate result{scope->second, {}};
   for (const Json& entry : list(fields, "lines")) result.entries.push_back(readEntry(entry, names));
   return result;
 }
@@ -80,14 +80,14 @@
   if (tenant != nullptr && tenant->is_string())
     r.tenant = position(names.tenants, tenant->get<std::string>());
   r.isRetry = flag(fields, "isRetry");
-  r.timeLeft = Duration(asNumber(need(fields, "timeBudgetS"), "timeBudgetS"));
-  r.session = instance::key(fields, "session");
-  r.prefix = instance::key(fields, "prefix");
+  r.timeUntilDeadline = Duration(asNumber(need(fields, "timeBudgetS"), "timeBudgetS"));
+  r.sessionKey = instance::key(fields, "session");
+  r.prefixKey = instance::key(fields, "prefix");
   r.prefixTokens = number(fields, "sharedLen", 0);
   r.promptTokens = number(fields, "promptLen", 0);
   r.maxOutputTokens = number(fields, "nMax", 0);
   const double hint = number(fields, "estimateS", 0);
-  if (hint > 0) r.answerHint = Duration(hint);
+  if (hint > 0) r.expectedOutputDuration = Duration(hint);
   return r;
 }
 
@@ -123,11 +123,11 @@
   AttemptEnded e;
   e.id = requestId(fields);
   e.attempt = attemptNumber(fields);
-  e.server = serverId(fields);
+  e.engine = serverId(fields);
   e.outcome = readOutcome(fields);
-  e.requestOver = flag(fields, "settled");
+  e.requestFinished = flag(fields, "settled");
   if (e.outcome == Outcome::kOk || e.outcome == Outcome::kPrefilled)
-    e.keptTokens = number(fields, "detail", 0);
+    e.cachedTokens = number(fields, "detail", 0);
   e.elapsed = seconds(fields, "delaySeenS", 0);
   e.load = readLoad(fields);
   return e;
@@ -147,11 +147,11 @@
                       readLoad(fields)};
   }
   if (name == "holdResult") {
-    return HoldAnswered{requestId(fields), serverId(fields),
-                        asUnsigned(need(fields, "kind"), "kind", 255) == 1};
+    return ReservationResult{requestId(fields), serverId(fields),
+                             asUnsigned(need(fields, "kind"), "kind", 255) == 1};
   }
   if (name == "elapsed") return TimerFired{text(fields, "cookie")};
-  if (name == "vanished") return ClientGone{requestId(fields)};
+  if (name == "vanished") return ClientDisconnected{requestId(fields)};
   if (name == "inbox") return std::nullopt;
   throw Malformed("unknown message '" + name + "'");
 }
@@ -159,29 +159,31 @@
 struct ActionWriter {
   const std::string& who;
 
-  Json operator()(const Send& a) const {
+  Json operator()(const StartAttempt& a) const {
     return {
         {"attempt",
-         {{"who", who}, {"tid", a.id.value}, {"maxWaitS", a.timeout.count()}, {"engine", a.server.value}}}};
+         {{"who", who}, {"tid", a.id.value}, {"maxWaitS", a.timeout.count()}, {"engine", a.engine.value}}}};
   }
   Json operator()(const Reserve& a) const {
-    return {{"bookSeat", {{"who", who}, {"tid", a.id.value}, {"engine", a.server.value}}}};
+    return {{"bookSeat", {{"who", who}, {"tid", a.id.value}, {"engine", a.engine.value}}}};
   }
   Json operator()(const Release& a) const { return {{"discard", {{"who", who}, {"tid", a.id.value}}}}; }
-  Json operator()(const Refuse& a) const {
+  Json operator()(const RejectRequest& a) const {
     Json fields = {{"who", who}, {"tid", a.id.value}};
     if (a.retryAfter.count() > 0) fields["notBeforeForS"] = a.retryAfter.count();
     return {{"shed", std::move(fields)}};
   }
-  Json operator()(const Fail& a) const { return {{"lose", {{"who", who}, {"tid", a.id.value}}}}; }
-  Json operator()(const Cancel& a) const {
+  Json operator()(const FailRequest& a) const { return {{"lose", {{"who", who}, {"tid", a.id.value}}}}; }
+  Json operator()(const CancelAttempt& a) const {
     return {{"cancel", {{"who", who}, {"tid", a.id.value}, {"sendNo", a.attempt}}}};
   }
-  Json operator()(const Probe& a) const { return {{"soundOut", {{"who", who}, {"engine", a.server.value}}}}; }
-  Json operator()(const SubscribeServers&) const { return {{"observe", {{"who", who}, {"enable", true}}}}; }
-  Json operator()(const FetchServers&) const { return {{"reload", {{"who", who}}}}; }
+  Json operator()(const Probe& a) const { return {{"soundOut", {{"who", who}, {"engine", a.engine.value}}}}; }
+  Json operator()(const SubscribeToEngineList&) const {
+    return {{"observe", {{"who", who}, {"enable", true}}}};
+  }
+  Json operator()(const FetchEngineList&) const { return {{"reload", {{"who", who}}}}; }
   Json operator()(const SetTimer& a) const {
-    return {{"wakeMe", {{"who", who}, {"instantS", a.at.time_since_epoch().count()}, {"cookie", a.token}}}};
+    return {{"wakeMe", {{"who", who}, {"instantS", a.at.time_since_epoch().count()}, {"cookie", a.timer.value}}}};
   }
   Json operator()(const Log& a) const { return {{"debug", {{"who", who}, {"message", a.text}}}}; }
 };
