--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -61,7 +61,7 @@
 // ---- Commands: to be carried out in the order given ----
 
 enum class FinalStatus { kServed, kRejected, kFailed, kDeadlineExceeded };
-const char* nameOf(FinalStatus status);
+const char* nameOf(FinalStatus status);  ///< The name on the wire.
 
 /// Starts a prefill call; it ends with onPrefillEnded() or onCallEnded().
 struct StartPrefill {
@@ -146,11 +146,43 @@
 struct Subscribe {};
 struct Fetch {};
 
+/// What a record tells of.
+enum class RecordKind {
+  kRequestAccepted,  ///< A request came; the reason is its class, its token counts and its objectives.
+  kServed,           ///< The final response, by its FinalStatus.
+  kRejected,
+  kFailed,
+  kDeadlineExceeded,
+  kClientDisconnected,  ///< The client ended the request before its final response.
+  kPrefillStarted,      ///< An attempt; the reason is what the policy expects of it.
+  kPrefillCompleted,    ///< The reason is the number of tokens that the engine had cached.
+  kDecodeStarted,
+  kStreamStarted,          ///< The first token came.
+  kStreamCompleted,        ///< The last token came; the reason is the number of tokens where it is known.
+  kAttemptFailed,          ///< A call failed; the reason has its status.
+  kCallCancelled,          ///< The router ended a call; the reason says why.
+  kCapacityRequested,      ///< A decode engine was asked to reserve capacity.
+  kStateReleased,          ///< An engine is to release the request's state.
+  kOrphanedStateReleased,  ///< The same for an attempt that was given up, by the request's name.
+  kStreamLost,             ///< The stream ended early or was taken from its engine; it may be continued.
+  kAttemptFenced,          ///< The engine confirmed that the lost attempt has ended.
+  kStreamContinued,        ///< Another engine continues the stream; the reason says from which token.
+  kStreamResumed,          ///< The client brought a stream of another router or of an earlier call.
+  kNotResumable,           ///< The stream can no longer be continued.
+  kInvariantViolation,     ///< The reason is the name of the Violation.
+  kReconfigured,
+  kDraining,    ///< New requests are rejected from now on.
+  kPolicyNote,  ///< The reason is the policy's text.
+  kCount
+};
+/// The name in the log; docs/node.md lists them.
+const char* nameOf(RecordKind kind);
+
 /// One line of the router's own log of decisions; every decision leaves one.
 struct Record {
   Instant at;
   std::string request;  ///< Its name for engines; empty where it concerns none.
-  const char* action = "";
+  RecordKind kind = RecordKind::kPolicyNote;
   std::optional<EngineId> engine;
   int attempt = -1;  ///< -1 = none.
   std::string reason;
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -1,135 +1,204 @@
 #!/usr/bin/env python3
-"""Where worth was lost: a table by cause, from the records of `gannetcourse platform --records`.
+"""Where priority weight was lost: a table by cause, from the records of `gannetcourse platform --records`.
 
 usage: losses.py FOLDER-OR-FILE... [--deciles]
 
-Reads JSON lines (other lines are passed over). Worth is counted as the records tell it: a request's class's worth
-times its prompt and answer tokens. Requests of other nodes' lives are told apart by file. With --deciles: expected
-against true times of reads, and expected against told kept tokens.
+Reads JSON lines (other lines are skipped), with the record names of this version and of earlier ones. A request weighs
+its class's priority weight times its prompt and output tokens. Requests of different router processes are kept apart by
+file. With --deciles: expected against actual prefill times, and expected against reported cached tokens.
 """
 
 import json
 import pathlib
 import sys
 
-TELLS = {"read", "write", "prefilled", "started", "served", "refused", "failed", "deadline", "client_gone",
-         "attempt_ended", "call_off", "stream_whole"}
-CAUSES = ["served in time", "late first token", "late pace", "refused, never sent", "refused after an attempt",
-          "failed", "out of time", "client gone"]
-
-
-def words(text):
-    """'chat prompt 5 aim 0.9' as {'class': 'chat', 'prompt': 5.0, 'aim': 0.9}."""
+# Names that earlier versions wrote, and today's.
+EARLIER_ACTIONS = {
+    "taken": "accepted",
+    "read": "prefill_started",
+    "prefilled": "prefill_completed",
+    "write": "decode_started",
+    "started": "stream_started",
+    "stream_whole": "stream_completed",
+    "refused": "rejected",
+    "deadline": "deadline_exceeded",
+    "client_gone": "client_disconnected",
+    "attempt_ended": "attempt_failed",
+    "call_off": "call_cancelled",
+}
+EARLIER_FIELDS = {
+    "aim": "ttft_objective",
+    "token": "inter_token_objective",
+    "worth": "priority_weight",
+    "expects": "expected_duration",
+    "kept": "cached_tokens",
+}
+EARLIER_REASONS = {"called off": "cancelled by the policy"}
+
+EVENTS = {
+    "prefill_started",
+    "prefill_completed",
+    "decode_started",
+    "stream_started",
+    "stream_completed",
+    "served",
+    "rejected",
+    "failed",
+    "deadline_exceeded",
+    "client_disconnected",
+    "attempt_failed",
+    "call_cancelled",
+}
+CAUSES = [
+    "served in time",
+    "late first token",
+    "slow stream",
+    "rejected, never attempted",
+    "rejected after an attempt",
+    "failed",
+    "deadline exceeded",
+    "client disconnected",
+]
+
+
+def fields_of(text):
+    """'chat prompt 5 ttft_objective 0.9' as {'class': 'chat', 'prompt': 5.0, 'ttft_objective': 0.9}."""
     parts = text.split()
-    out = {"class": parts[0]} if len(parts) % 2 else {}
-    rest = parts[1:] if len(parts) % 2 else parts
-    for name, value in zip(rest[::2], rest[1::2]):
+    has_class = len(parts) % 2 == 1
+    fields = {"class": parts[0]} if has_class else {}
+    pairs = parts[1:] if has_class else parts
+    for name, value in zip(pairs[::2], pairs[1::2]):
         try:
-            out[name] = float(value)
+            fields[EARLIER_FIELDS.get(name, name)] = float(value)
         except ValueError:
             pass
-    return out
+    return fields
+
+
+def router_record(line):
+    """The record on this line under today's names, None where the line has none."""
+    try:
+        record = json.loads(line[max(0, line.find("{")) :])  # whoever runs the router may put a time ahead
+    except ValueError:
+        return None
+    if not isinstance(record, dict) or record.get("package") != "router" or "request" not in record:
+        return None
+    action, reason = record.get("action"), record.get("why", "")
+    record["action"] = EARLIER_ACTIONS.get(action, action)
+    record["why"] = EARLIER_REASONS.get(reason, reason)
+    return record
 
 
 def requests_of(path):
-    """The lives of requests in one file: what was asked, and all that happened, in order."""
-    lives = {}
+    """The requests in one file: what each asked for, and its events in order."""
+    requests = {}
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
-            try:
-                record = json.loads(line[max(0, line.find("{")):])  # whoever runs the node may put a time ahead
-            except ValueError:
-                continue
-            if not isinstance(record, dict) or record.get("package") != "router" or "request" not in record:
+            record = router_record(line)
+            if record is None:
                 continue
-            if record.get("action") == "taken":
-                lives[record["request"]] = {"asked": words(record.get("why", "")), "at": record["at"], "told": []}
-            elif record.get("action") in TELLS and record["request"] in lives:
-                lives[record["request"]]["told"].append(record)
-    return [life for life in lives.values() if "class" in life["asked"]]
+            name = record["request"]
+            if record["action"] == "accepted":
+                requests[name] = {"asked": fields_of(record["why"]), "at": record["at"], "events": []}
+            elif record["action"] in EVENTS and name in requests:
+                requests[name]["events"].append(record)
+    return [request for request in requests.values() if "class" in request["asked"]]
 
 
-def judge(life):
+def cause_of_served(request, first_token_at, served_at):
+    objectives, tokens = request["asked"], request["tokens"]
+    if first_token_at is None or first_token_at - request["at"] > objectives.get("ttft_objective", 0):
+        return "late first token"
+    inter_token_time = (served_at - first_token_at) / tokens if tokens > 1 else 0
+    is_slow = inter_token_time > objectives.get("inter_token_objective", 0) > 0
+    return "slow stream" if is_slow else "served in time"
+
+
+def cause_of(request):
     """The cause under which a request counts, None while it is open."""
-    asked, first, sent, tokens = life["asked"], None, False, 0
-    for r in life["told"]:
-        action = r["action"]
-        sent = sent or action in ("read", "write")
-        if action == "started":
-            first = r["at"]
-        if action == "stream_whole":
-            tokens = words(r.get("why", "")).get("tokens", 0)
+    first_token_at, attempted, tokens = None, False, 0
+    for event in request["events"]:
+        action = event["action"]
+        attempted = attempted or action in ("prefill_started", "decode_started")
+        if action == "stream_started":
+            first_token_at = event["at"]
+        if action == "stream_completed":
+            tokens = fields_of(event["why"]).get("tokens", 0)
         if action == "served":
-            life["tokens"] = tokens
-            if first is None or first - life["at"] > asked.get("aim", 0):
-                return "late first token"
-            pace = (r["at"] - first) / tokens if tokens > 1 else 0
-            return "late pace" if pace > asked.get("token", 0) > 0 else "served in time"
-        if action == "refused":
-            return "refused after an attempt" if sent else "refused, never sent"
-        if action in ("failed", "deadline"):
-            return "failed" if action == "failed" else "out of time"
-        if action == "client_gone":
-            return "client gone"
+            request["tokens"] = tokens
+            return cause_of_served(request, first_token_at, event["at"])
+        if action == "rejected":
+            return "rejected after an attempt" if attempted else "rejected, never attempted"
+        if action == "failed":
+            return "failed"
+        if action == "deadline_exceeded":
+            return "deadline exceeded"
+        if action == "client_disconnected":
+            return "client disconnected"
     return None
 
 
-def table(lives):
-    rows = {cause: [0, 0.0] for cause in CAUSES}
-    for life in lives:
-        cause = judge(life)
-        if cause is None:
-            continue
-        asked = life["asked"]
-        rows[cause][0] += 1
-        rows[cause][1] += asked.get("worth", 1) * (asked.get("prompt", 0) + life.get("tokens", 0) + 1)
-    all_requests = sum(n for n, _ in rows.values())
-    all_worth = sum(w for _, w in rows.values()) or 1
-    print(f"{'cause':26} {'requests':>8} {'share':>7} {'worth':>7}")
+def weight_of(request):
+    asked = request["asked"]
+    return asked.get("priority_weight", 1) * (asked.get("prompt", 0) + request.get("tokens", 0) + 1)
+
+
+def print_causes(requests):
+    counts = {cause: 0 for cause in CAUSES}
+    weights = {cause: 0.0 for cause in CAUSES}
+    for request in requests:
+        cause = cause_of(request)
+        if cause is not None:
+            counts[cause] += 1
+            weights[cause] += weight_of(request)
+    all_requests = max(1, sum(counts.values()))
+    all_weight = sum(weights.values()) or 1
+    print(f"{'cause':26} {'requests':>8} {'share':>7} {'weight':>7}")
     for cause in CAUSES:
-        n, worth = rows[cause]
-        print(f"{cause:26} {n:8} {n / max(1, all_requests):7.3f} {worth / all_worth:7.3f}")
-
-
-def beside(lives):
-    """What costs without ending a request: attempts thrown away, states lost, prompts read anew."""
-    reads = called_off = ended = lost = 0
-    fresh = prompt = after_prefix = 0.0
-    for life in lives:
-        for r in life["told"]:
-            why = r.get("why", "")
-            reads += r["action"] == "read"
-            called_off += r["action"] == "call_off" and why == "called off"
-            ended += r["action"] == "attempt_ended"
-            lost += r["action"] == "attempt_ended" and why == "status 410"
-            if r["action"] == "prefilled":
-                kept = words(why).get("kept", 0)
-                prompt += life["asked"].get("prompt", 0)
-                fresh += life["asked"].get("prompt", 0) - kept
-                after_prefix += life["asked"].get("prompt", 0) - life["asked"].get("prefix", 0)
-    print(f"\nreads {reads}, called off {called_off}, attempts failed {ended}, states lost {lost}")
+        count = counts[cause]
+        print(f"{cause:26} {count:8} {count / all_requests:7.3f} {weights[cause] / all_weight:7.3f}")
+
+
+def print_wasted_work(requests):
+    """What costs without ending a request: attempts given up, states lost, prompts prefilled anew."""
+    events = [event for request in requests for event in request["events"]]
+    prefills = sum(e["action"] == "prefill_started" for e in events)
+    cancelled = sum(e["action"] == "call_cancelled" and e["why"] == "cancelled by the policy" for e in events)
+    failed = sum(e["action"] == "attempt_failed" for e in events)
+    lost = sum(e["action"] == "attempt_failed" and e["why"] == "status 410" for e in events)
+    print(f"\nprefills {prefills}, cancelled by the policy {cancelled}, attempts failed {failed}, states lost {lost}")
+
+    prompt = uncached = after_prefix = 0.0
+    for request in requests:
+        asked = request["asked"]
+        for event in request["events"]:
+            if event["action"] == "prefill_completed":
+                prompt += asked.get("prompt", 0)
+                uncached += asked.get("prompt", 0) - fields_of(event["why"]).get("cached_tokens", 0)
+                after_prefix += asked.get("prompt", 0) - asked.get("prefix", 0)
     if prompt:
-        print(f"prompt tokens read anew {fresh / prompt:.3f}, beyond their prefix {after_prefix / prompt:.3f}")
-
-
-def deciles(lives):
-    times, kept = [], []
-    for life in lives:
-        sent = None
-        for r in life["told"]:
-            if r["action"] == "read":
-                sent = r
-            if r["action"] == "prefilled" and sent:
-                expected = words(sent.get("why", ""))
-                times.append((expected.get("expects", 0), r["at"] - sent["at"]))
-                kept.append((expected.get("kept", 0), words(r.get("why", "")).get("kept", 0)))
-    for name, pairs in (("read time, s", times), ("kept tokens", kept)):
+        print(f"prompt tokens prefilled anew {uncached / prompt:.3f}, beyond their prefix {after_prefix / prompt:.3f}")
+
+
+def print_deciles(requests):
+    durations, cached = [], []
+    for request in requests:
+        started = None
+        for event in request["events"]:
+            if event["action"] == "prefill_started":
+                started = event
+            if event["action"] == "prefill_completed" and started:
+                expected = fields_of(started["why"])
+                reported = fields_of(event["why"]).get("cached_tokens", 0)
+                durations.append((expected.get("expected_duration", 0), event["at"] - started["at"]))
+                cached.append((expected.get("cached_tokens", 0), reported))
+    for name, pairs in (("prefill time, s", durations), ("cached tokens", cached)):
         pairs.sort()
-        print(f"\n{name}: expected, true (means by decile of the expected)")
+        print(f"\n{name}: expected, actual (means by decile of the expected)")
         for i in range(10):
-            part = pairs[len(pairs) * i // 10:len(pairs) * (i + 1) // 10]
+            part = pairs[len(pairs) * i // 10 : len(pairs) * (i + 1) // 10]
             if part:
-                print(f"{sum(e for e, _ in part) / len(part):10.3f} {sum(t for _, t in part) / len(part):10.3f}")
+                print(f"{sum(e for e, _ in part) / len(part):10.3f} {sum(a for _, a in part) / len(part):10.3f}")
 
 
 def main(arguments):
@@ -137,7 +206,7 @@
     if not paths or any(p.startswith("-") for p in paths):
         print(__doc__.strip(), file=sys.stderr)
         return 2
-    lives = []
+    requests = []
     for name in paths:
         path = pathlib.Path(name)
         if not path.exists():
@@ -145,14 +214,14 @@
             return 2
         files = sorted(path.rglob("*.log")) if path.is_dir() else [path]
         for file in files:
-            lives += requests_of(file)
-    if not lives:
-        print("losses: no records of requests; run the node with --records", file=sys.stderr)
+            requests += requests_of(file)
+    if not requests:
+        print("losses: no records of requests; run the router with --records", file=sys.stderr)
         return 1
-    table(lives)
-    beside(lives)
+    print_causes(requests)
+    print_wasted_work(requests)
     if "--deciles" in arguments:
-        deciles(lives)
+        print_deciles(requests)
     return 0
 
 
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -14,9 +14,21 @@
 namespace gannetcourse::daemon {
 namespace {
 
-bool endsRequest(const std::string& action) {
-  return action == "served" || action == "refused" || action == "failed" || action == "deadline" ||
-         action == "client_gone" || action == "draining" || action == "reconfigured";
+spdlog::level::level_enum levelOf(router::RecordKind kind) {
+  switch (kind) {
+    case router::RecordKind::kInvariantViolation:
+      return spdlog::level::err;
+    case router::RecordKind::kServed:
+    case router::RecordKind::kRejected:
+    case router::RecordKind::kFailed:
+    case router::RecordKind::kDeadlineExceeded:
+    case router::RecordKind::kClientDisconnected:
+    case router::RecordKind::kDraining:
+    case router::RecordKind::kReconfigured:
+      return spdlog::level::info;
+    default:
+      return spdlog::level::debug;
+  }
 }
 
 }  // namespace
@@ -96,11 +108,9 @@
 
 void Log::write(const router::Record& record) {
   if (!impl_) return;  // it has ended
-  const auto level = record.action == std::string("violation") ? spdlog::level::err
-                     : endsRequest(record.action)              ? spdlog::level::info
-                                                               : spdlog::level::debug;
+  const auto level = levelOf(record.kind);
   if (!impl_->wanted("router", level)) return;
-  nlohmann::ordered_json fields = {{"package", "router"}, {"action", record.action}};
+  nlohmann::ordered_json fields = {{"package", "router"}, {"action", nameOf(record.kind)}};
   fields["at"] = record.at.time_since_epoch().count();
   if (!record.request.empty()) fields["request"] = record.request;
   if (record.engine) fields["engine"] = record.engine->value;
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -83,7 +83,7 @@
 
 // Where no records are asked for, a rule that was broken is still told of, with its request.
 void Node::logViolation(const router::Record& record) {
-  if (record.action != std::string("violation")) return;
+  if (record.kind != router::RecordKind::kInvariantViolation) return;
   log_("router", "error", "violation: " + record.reason + " by request " + record.request);
 }
 
--- a/src/router/core.cpp
+++ b/src/router/core.cpp
@@ -5,10 +5,10 @@
 
 #include "gannetcourse/recovery.h"
 #include "gannetcourse/router.h"
-#include "router/descriptions.h"
 #include "router/engine_roles.h"
 #include "router/late_states.h"
 #include "router/places.h"
+#include "router/record_text.h"
 #include "router/request.h"
 #include "router/rule_guard.h"
 
@@ -39,7 +39,7 @@
     settings_ = settings;
     guard_.takeSettings(settings);
     lateStates_.takeLimit(settings.stateLeaseLimit);
-    out_.emplace_back(Record{now_, {}, "reconfigured", {}, -1, {}});
+    out_.emplace_back(Record{now_, {}, RecordKind::kReconfigured, {}, -1, {}});
     feed(SettingsChanged{settings});
   }
 
@@ -56,7 +56,8 @@
     names_.emplace(r.policyId, r.key);
     guard_.taken(r.key, r.asked.classIndex);
     if (options_.recordsEnabled)
-      record(r, "taken", {}, -1, askedFor(settings_.classes.at(r.asked.classIndex), *r.work));
+      record(r, RecordKind::kRequestAccepted, {}, -1,
+             describeRequest(settings_.classes.at(r.asked.classIndex), *r.work));
     if (draining_) return answer(r, FinalStatus::kRejected, Duration(0), "node is draining");
     r.timer =
         timers_.emplace(r.end - options_.responseMargin * kBackstopShare, Timer{Due::kRequest, r.key, {}});
@@ -72,7 +73,7 @@
     ++counts_.clientsDisconnected;
     r.answered = true;
     touch(r);
-    record(r, "client_gone");
+    record(r, RecordKind::kClientDisconnected);
     const RequestId id{r.policyId};
     const std::optional<AttemptEnded> ended = endCall(r, Outcome::kCancelled, "client gone");
     if (ended) feed(*ended);
@@ -90,7 +91,8 @@
     r.state = std::move(state);
     r.stateAttempt = call.attempt;
     guard_.stateHeld(now_, r.key);
-    if (options_.recordsEnabled) record(r, "prefilled", call.engine, call.attempt, "kept " + textOf(kept, 0));
+    if (options_.recordsEnabled)
+      record(r, RecordKind::kPrefillCompleted, call.engine, call.attempt, describeCachedTokens(kept));
     callEnded(key, Outcome::kPrefilled, kept, load, {}, recovery::AttemptEnd::kConfirmed);
   }
 
@@ -114,7 +116,7 @@
       guard_.stateTaken(r.key);
       r.stateAt.reset();  // the writer has it
       r.seatAt.reset();
-      record(r, "started", call.engine, call.attempt);
+      record(r, RecordKind::kStreamStarted, call.engine, call.attempt);
     }
     if (first) streamStarted(r, call);
     keepText(r, text);
@@ -137,12 +139,12 @@
     ended.cachedTokens = kept;
     ended.load = load;
     if (!r.answered && outcome == Outcome::kOk) {
-      record(r, "stream_whole", call.engine, call.attempt, why);
+      record(r, RecordKind::kStreamCompleted, call.engine, call.attempt, why);
       answer(r, FinalStatus::kServed, Duration(0), {});
     } else if (!r.answered && r.started) {
       return streamLost(r, ended, why, ending);
     } else if (outcome != Outcome::kOk && outcome != Outcome::kPrefilled) {
-      record(r, "attempt_ended", call.engine, call.attempt, why);
+      record(r, RecordKind::kAttemptFailed, call.engine, call.attempt, why);
     }
     ended.requestFinished = r.answered;
     feed(ended);
@@ -151,7 +153,7 @@
   void fenced(RequestKey key, int attempt) {
     const auto it = requests_.find(key);
     if (it == requests_.end() || !it->second.waits || it->second.number - 1 != attempt) return;
-    record(it->second, "fenced", {}, attempt);
+    record(it->second, RecordKind::kAttemptFenced, {}, attempt);
     if (recovery_.onAttemptFenced(now_, key) == recovery::Disposition::kContinue) goOn(it->second);
   }
 
@@ -168,7 +170,8 @@
   }
 
   void drain() {
-    if (!std::exchange(draining_, true)) out_.emplace_back(Record{now_, {}, "draining", {}, -1, {}});
+    if (!std::exchange(draining_, true))
+      out_.emplace_back(Record{now_, {}, RecordKind::kDraining, {}, -1, {}});
   }
 
   void advance() {
@@ -278,7 +281,8 @@
                                     r->stateAt ? r->state : "", left, timeout, r->work});
     }
     if (options_.recordsEnabled)
-      record(*r, reads ? "read" : "write", a.engine, number, expectationOf(a, reads));
+      record(*r, reads ? RecordKind::kPrefillStarted : RecordKind::kDecodeStarted, a.engine, number,
+             reads ? describePrefillExpectation(a) : describeDecodeExpectation(a));
   }
 
   void act(Reserve& a) {
@@ -287,7 +291,7 @@
     if (r->seatAt) letGoSeat(*r);
     r->seatAt = a.engine;
     out_.emplace_back(ReserveCapacity{r->key, r->id, r->number, a.engine, r->work->promptTokens});
-    record(*r, "reserve", a.engine);
+    record(*r, RecordKind::kCapacityRequested, a.engine);
   }
 
   void act(Release& a) {
@@ -324,7 +328,7 @@
     Request* r = named(a.id);
     const auto it = r == nullptr ? calls_.end() : calls_.find(r->out);
     if (it == calls_.end() || it->second.attempt - r->firstNumber != a.attempt || r->started) return;
-    const auto ended = endCall(*r, Outcome::kCancelled, "called off");
+    const auto ended = endCall(*r, Outcome::kCancelled, "cancelled by the policy");
     if (ended) events_.emplace_back(*ended);
   }
 
@@ -332,7 +336,7 @@
   void act(SubscribeToEngineList&) { out_.emplace_back(Subscribe{}); }
   void act(FetchEngineList&) { out_.emplace_back(Fetch{}); }
   void act(SetTimer& a) { timers_.emplace(a.at, Timer{Due::kPolicy, 0, a.timer.value}); }
-  void act(Log& a) { out_.emplace_back(Record{now_, {}, "note", {}, -1, a.text}); }
+  void act(Log& a) { out_.emplace_back(Record{now_, {}, RecordKind::kPolicyNote, {}, -1, a.text}); }
 
   // ---- Continuations ----
   void tellPolicy(const Request& r) {
@@ -377,7 +381,7 @@
       r.sent += text;
     } else if (std::exchange(r.keepsText, false)) {
       r.sent = {};
-      record(r, "not_resumable", {}, -1, "its text is over the budget");
+      record(r, RecordKind::kNotResumable, {}, -1, "its text is over the budget");
     }
   }
 
@@ -396,7 +400,8 @@
     names_.erase(r.policyId);
     r.waits = true;
     r.lastEngine = ended.engine;
-    record(r, "lost", ended.engine, ended.attempt + r.firstNumber, why + "; " + decision.reason);
+    record(r, RecordKind::kStreamLost, ended.engine, ended.attempt + r.firstNumber,
+           why + "; " + decision.reason);
     if (decision.disposition == recovery::Disposition::kContinue) goOn(r);
     if (decision.disposition == recovery::Disposition::kFenceFirst) askToFence(r);
   }
@@ -432,7 +437,7 @@
     if (decision.disposition == recovery::Disposition::kGiveUp)
       return answer(r, FinalStatus::kFailed, Duration(0), "cannot be resumed: " + decision.reason);
     r.waits = true;
-    record(r, "resumed", from.engine, from.attempt, "as " + r.name + "; " + decision.reason);
+    record(r, RecordKind::kStreamResumed, from.engine, from.attempt, "as " + r.name + "; " + decision.reason);
     askToFence(r);
   }
 
@@ -461,7 +466,7 @@
     work->promptTokens += r.nextIndex;
     work->firstTokenIndex = r.nextIndex;
     r.work = std::move(work);
-    record(r, "continued", {}, -1, "from token " + std::to_string(r.nextIndex));
+    record(r, RecordKind::kStreamContinued, {}, -1, "from token " + std::to_string(r.nextIndex));
     tellPolicy(r);
   }
 
@@ -551,7 +556,7 @@
     if (it == calls_.end()) return std::nullopt;
     out_.emplace_back(CancelCall{it->first});
     const Call call = dropCall(it, outcome);
-    record(r, "call_off", call.engine, call.attempt, why);
+    record(r, RecordKind::kCallCancelled, call.engine, call.attempt, why);
     // Its reply may be on the way: whatever it has left is let go by name.
     if (call.reads) lateStates_.addRead(now_, {r.id, call.attempt, call.engine});
     if (!call.reads && r.stateAt) lateStates_.addWrite(now_, {r.id, call.attempt, call.engine});
@@ -564,7 +569,7 @@
     if (r.nextIndex == 0) recordViolation(r, guard_.answered(now_, r.key, r.end));
     touch(r);
     ++countOf(counts_, verdict);
-    record(r, nameOf(verdict), {}, -1, why);
+    record(r, kindOf(verdict), {}, -1, why);
     out_.emplace_back(FinalResponse{r.key, verdict, retryAfter, why});
   }
 
@@ -577,7 +582,7 @@
   void releaseState(const Request& r, const char* why) {
     recordViolation(r, guard_.stateFreed(now_, r.key), r.stateAt, r.stateAttempt);
     out_.emplace_back(ReleaseState{r.id, r.stateAttempt, *r.stateAt});
-    record(r, "release", *r.stateAt, r.stateAttempt, why);
+    record(r, RecordKind::kStateReleased, *r.stateAt, r.stateAttempt, why);
   }
 
   void settleLateStates() {
@@ -590,7 +595,8 @@
     for (const LateStates::Attempt& late : lateStates_.due(now_, isBusy)) {
       out_.emplace_back(ReleaseState{late.id, late.number, late.engine});
       if (options_.recordsEnabled)
-        out_.emplace_back(Record{now_, late.id, "release_by_name", late.engine, late.number, {}});
+        out_.emplace_back(
+            Record{now_, late.id, RecordKind::kOrphanedStateReleased, late.engine, late.number, {}});
     }
     const std::optional<Instant> due = lateStates_.nextDue();
     if (due && lateStatesDue_ && (*lateStatesDue_)->first == *due) return;
@@ -612,16 +618,16 @@
     return it == names_.end() ? nullptr : &requests_.at(it->second);
   }
 
-  void record(const Request& r, const char* action, std::optional<EngineId> engine = {}, int attempt = -1,
+  void record(const Request& r, RecordKind kind, std::optional<EngineId> engine = {}, int attempt = -1,
               std::string why = {}) {
-    if (options_.recordsEnabled)
-      out_.emplace_back(Record{now_, r.id, action, engine, attempt, std::move(why)});
+    if (options_.recordsEnabled) out_.emplace_back(Record{now_, r.id, kind, engine, attempt, std::move(why)});
   }
 
   // Also where no records are asked for.
   void recordViolation(const Request& r, std::optional<Violation> rule, std::optional<EngineId> engine = {},
                        int attempt = -1) {
-    if (rule) out_.emplace_back(Record{now_, r.id, "violation", engine, attempt, nameOf(*rule)});
+    if (rule)
+      out_.emplace_back(Record{now_, r.id, RecordKind::kInvariantViolation, engine, attempt, nameOf(*rule)});
   }
 
   Policy policy_;
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -59,6 +59,20 @@
   return counts.deadlineExceeded;
 }
 
+inline RecordKind kindOf(FinalStatus status) {
+  switch (status) {
+    case FinalStatus::kServed:
+      return RecordKind::kServed;
+    case FinalStatus::kRejected:
+      return RecordKind::kRejected;
+    case FinalStatus::kFailed:
+      return RecordKind::kFailed;
+    case FinalStatus::kDeadlineExceeded:
+      break;
+  }
+  return RecordKind::kDeadlineExceeded;
+}
+
 struct Call {
   Request* owner = nullptr;  // requests outlive their calls
   int attempt = 0;
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -78,7 +78,7 @@
   std::string operator()(const Subscribe&) const { return "subscribe"; }
   std::string operator()(const Fetch&) const { return "fetch"; }
   std::string operator()(const Record& c) {
-    const auto kind = kinds_.emplace(c.action, kinds_.size()).first->second;
+    const auto kind = kinds_.emplace(c.kind, kinds_.size()).first->second;
     return "record " + std::to_string(kind) + " " + textOf(c.at.time_since_epoch().count()) + " " +
            c.request + " " + textOf(c.engine) + " " + std::to_string(c.attempt) + " " + numbersIn(c.reason);
   }
@@ -89,7 +89,7 @@
            " ";
   }
 
-  std::map<std::string, std::size_t> kinds_;
+  std::map<RecordKind, std::size_t> kinds_;
 };
 
 // FNV-1a over lines.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -485,7 +485,7 @@
   EXPECT_EQ(of<CancelCall>(said).size(), 1u);
   const auto records = of<Record>(said);
   const auto deadline = std::find_if(records.begin(), records.end(),
-                                     [](const Record& r) { return std::string(r.action) == "deadline"; });
+                                     [](const Record& r) { return r.kind == RecordKind::kDeadlineExceeded; });
   ASSERT_NE(deadline, records.end());
   EXPECT_LT(deadline->at, at(4));
 }
@@ -566,7 +566,7 @@
   core.onClientDisconnected(at(1.1 + 2 * test::twoStageSettings().stateLeaseLimit.count()), 9);
   const auto records = of<Record>(take());
   ASSERT_EQ(records.size(), 1u);
-  EXPECT_EQ(records.front().action, std::string("violation"));
+  EXPECT_EQ(records.front().kind, RecordKind::kInvariantViolation);
   EXPECT_EQ(records.front().request, "held-too-long");
   EXPECT_EQ(records.front().reason, "pinned");
 }
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -155,7 +155,7 @@
   EXPECT_EQ(streaming->end->status.code, grpc::Code::kOk);
   EXPECT_EQ(reading->end->status.code, grpc::Code::kOk);
   const std::string log = read("node.log");
-  for (const char* action : {"taken", "read", "write", "started", "served"})
+  for (const char* action : {"accepted", "prefill_started", "decode_started", "stream_started", "served"})
     EXPECT_NE(log.find("\"action\":\"" + std::string(action) + "\""), std::string::npos) << action;
 }
 
--- a/tests/long_turns_test.cpp
+++ b/tests/long_turns_test.cpp
@@ -16,7 +16,7 @@
     node = std::make_unique<Node>(
         loop, configurationOf(json), [](const std::string&, const std::string&, const std::string&) {},
         [this](const router::Record& record) {
-          if (std::string(record.action) == "write" && then && first.empty()) {
+          if (record.kind == router::RecordKind::kDecodeStarted && then && first.empty()) {
             first = record.request;
             then();
           }
