--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -284,7 +284,7 @@
  private:
   class Impl;
   template <class Step>
-  void step(Instant now, const Step& what);
+  void step(Instant now, const Step& perform);
   std::unique_ptr<Impl> impl_;
 };
 
--- /dev/null
+++ b/src/router/core_context.h
@@ -0,0 +1,38 @@
+// What the parts of a core share: the time, the settings, the commands for the host, counters and timers.
+#pragma once
+
+#include <utility>
+#include <vector>
+
+#include "gannetcourse/router.h"
+#include "router/invariant_guard.h"
+#include "router/request.h"
+#include "router/timer_queue.h"
+
+namespace gannetcourse::router {
+
+struct CoreContext {
+  CoreContext(const Settings& initialSettings, Options coreOptions)
+      : settings(initialSettings), options(std::move(coreOptions)), guard(initialSettings) {}
+
+  template <class SomeCommand>
+  void emit(SomeCommand command) {
+    commands.emplace_back(std::move(command));
+  }
+
+  /// Until a response has to leave, so that it reaches the client before the deadline.
+  Duration timeUntilResponse(const Request& request) const {
+    return request.deadline - now - options.responseMargin;
+  }
+  Instant responseDeadline(const Request& request) const { return request.deadline - options.responseMargin; }
+
+  Settings settings;
+  Options options;
+  Instant now{};
+  std::vector<Command> commands;  ///< Since the host took them last.
+  Counters counters;
+  TimerQueue timers;
+  InvariantGuard guard;
+};
+
+}  // namespace gannetcourse::router
--- a/src/router/engine_roles.h
+++ b/src/router/engine_roles.h
@@ -1,4 +1,4 @@
-// Which role each listed engine has: an engine that is not on the list is sent nothing.
+// Which role each listed engine has. No attempt is started at an engine that is not listed.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 class EngineRoles {
  public:
-  // Returns the engines that the list names as removed.
-  std::vector<EngineId> take(const EngineListUpdate& list) {
+  /// Returns the engines that the update names as removed.
+  std::vector<EngineId> apply(const EngineListUpdate& update) {
     std::vector<EngineId> removed;
-    const bool isWhole =
-        list.scope == EngineListUpdate::Scope::kSnapshot || list.scope == EngineListUpdate::Scope::kCached;
-    if (isWhole) roles_.clear();
-    for (const EngineEntry& entry : list.entries) {
+    const bool replacesAll = update.scope == EngineListUpdate::Scope::kSnapshot ||
+                             update.scope == EngineListUpdate::Scope::kCached;
+    if (replacesAll) roles_.clear();
+    for (const EngineEntry& entry : update.entries) {
       if (entry.state == EngineEntry::State::kRemoved) {
         roles_.erase(entry.id);
         removed.push_back(entry.id);
@@ -28,9 +28,11 @@
     return removed;
   }
 
-  std::optional<Role> of(EngineId engine) const {
+  /// Absent where the engine is not listed.
+  std::optional<Role> roleOf(EngineId engine) const {
     const auto it = roles_.find(engine);
-    return it == roles_.end() ? std::nullopt : std::optional(it->second);
+    if (it == roles_.end()) return std::nullopt;
+    return it->second;
   }
 
  private:
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -1,97 +1,70 @@
-// What the core keeps on record of its requests, the calls that are out for them, and its timers.
+// What the core knows of one request and of the call that is in flight for it.
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
 
 #include "gannetcourse/router.h"
+#include "router/call_kind.h"
+#include "router/timer_queue.h"
 
 namespace gannetcourse::router {
 
-enum class Due { kPolicy, kAttempt, kRequest, kLook, kLateStates };
-
-struct Timer {
-  Due due = Due::kPolicy;
-  std::uint64_t key = 0;  // call or request
-  std::string token;      // the policy's
-};
-using Timers = std::multimap<Instant, Timer>;
-using TimerAt = std::optional<Timers::iterator>;  // while it has not fired
-
 struct Request {
   RequestKey key = 0;
-  std::string name;      // its name at this node
-  std::string id;        // its name for engines; the same, but for answers that broke off elsewhere
-  std::string policyId;  // its name for the policy: each continuation is a new request there
-  NewRequest asked;
-  int moves = 0;                         // continuations
-  int number = 0, firstNumber = 0;       // of the next attempt, as engines know it; of policyId's first
-  std::string sent;                      // text of the answer so far, as long as it is kept
-  bool keepsText = true, waits = false;  // lost, until its turn comes
-  std::shared_ptr<const RequestPayload> work;
-  Instant end;  // when the client's time for the whole answer is up
-  bool answered = false, started = false;
-  int attempts = 0;
-  CallKey out = 0;  // the one call that is out; 0 = none
-  std::uint32_t nextIndex = 0;
-  std::optional<EngineId> stateAt, seatAt;  // what is held for it, and where
-  std::string state;
+  std::string name;      // the core's own, unique among routers
+  std::string id;        // its name for engines: `name`, unless the host or a resumed stream brought another
+  std::string policyId;  // its name for the policy, to which each continuation is a new request
+  NewRequest arrival;
+  std::shared_ptr<const RequestPayload> payload;  // of the current continuation
+  Instant deadline;                               // when its client gives up on the whole answer
+
+  bool isCompleted = false;  // it has its final response, or its client has disconnected
+  bool isStreaming = false;  // the attempt in flight has brought its first token
+  int attemptCount = 0;
+  int nextAttempt = 0;       // number of the next attempt, over all continuations, as engines know it
+  int firstAttempt = 0;      // number of the first attempt under `policyId`
+  CallKey callInFlight = 0;  // 0 = none
+
+  std::optional<EngineId> stateEngine;  // where a state waits for its decode call
+  std::string stateHandle;
   int stateAttempt = 0;
-  EngineId lastEngine;  // of the stream that was lost
-  TimerAt timer;        // the last resort
-};
+  std::optional<EngineId> reservedEngine;
 
-// The count of the requests that ended so.
-inline std::uint64_t& countOf(Counters& counts, FinalStatus verdict) {
-  switch (verdict) {
-    case FinalStatus::kServed:
-      return counts.served;
-    case FinalStatus::kRejected:
-      return counts.rejected;
-    case FinalStatus::kFailed:
-      return counts.failed;
-    case FinalStatus::kDeadlineExceeded:
-      break;
-  }
-  return counts.deadlineExceeded;
-}
+  std::uint32_t nextTokenIndex = 0;
+  std::string generatedText;  // the answer so far, while it is buffered
+  bool isTextBuffered = true;
+  int continuations = 0;
+  bool awaitsContinuation = false;  // its stream was lost
+  EngineId lostStreamEngine;
 
-inline RecordKind kindOf(FinalStatus status) {
-  switch (status) {
-    case FinalStatus::kServed:
-      return RecordKind::kServed;
-    case FinalStatus::kRejected:
-      return RecordKind::kRejected;
-    case FinalStatus::kFailed:
-      return RecordKind::kFailed;
-    case FinalStatus::kDeadlineExceeded:
-      break;
-  }
-  return RecordKind::kDeadlineExceeded;
-}
+  TimerQueue::Handle timeout;
+
+  /// Nothing of it is left to do.
+  bool isFinished() const { return isCompleted && callInFlight == 0; }
+};
 
 struct Call {
-  Request* owner = nullptr;  // requests outlive their calls
+  Request* request = nullptr;  // never null; a request outlives its calls
   int attempt = 0;
   EngineId engine;
-  bool reads = false;
-  Instant sentAt;
-  TimerAt timer;  // of its time-out
+  CallKind kind = CallKind::kPrefill;
+  Instant startedAt;
+  TimerQueue::Handle timeout;
 };
 
-// What the policy is told of a call's end.
-inline AttemptEnded endOf(const Request& request, const Call& call, Outcome outcome, Instant now) {
-  AttemptEnded ended;
-  ended.id = RequestId{request.policyId};
-  ended.attempt = call.attempt - request.firstNumber;
-  ended.engine = call.engine;
-  ended.outcome = outcome;
-  ended.requestFinished = request.answered;
-  ended.elapsed = now - call.sentAt;
-  return ended;
-}
+/// The number of the next attempt, as the policy counts.
+inline int nextPolicyAttempt(const Request& request) { return request.nextAttempt - request.firstAttempt; }
+
+/// The number of this attempt, as the policy counts.
+inline int policyAttempt(const Call& call) { return call.attempt - call.request->firstAttempt; }
+
+/// The event that submits the request, or its continuation, to the policy.
+RequestArrived requestArrivedEvent(const Request& request, Duration timeUntilResponse);
+
+/// The event that a call's attempt has ended; cached tokens and load are the caller's to add.
+AttemptEnded attemptEndedEvent(const Call& call, Outcome outcome, Instant now);
 
 }  // namespace gannetcourse::router
--- /dev/null
+++ b/src/router/settings_compatibility.cpp
@@ -0,0 +1,40 @@
+#include "router/settings_compatibility.h"
+
+#include <cstddef>
+#include <stdexcept>
+
+namespace gannetcourse::router {
+namespace {
+
+bool hasSameEffects(const ClassSettings& a, const ClassSettings& b) {
+  return a.idempotency == b.idempotency && a.dedupScope == b.dedupScope && a.dedupWindow == b.dedupWindow;
+}
+
+bool isCompatible(const Settings& current, const Settings& updated) {
+  if (updated.classes.size() < current.classes.size()) return false;
+  if (updated.tenants.size() < current.tenants.size()) return false;
+  for (std::size_t i = 0; i < current.classes.size(); ++i) {
+    if (!hasSameEffects(current.classes[i], updated.classes[i])) return false;
+  }
+  return true;
+}
+
+}  // namespace
+
+void requireCompatible(const Settings& current, const Settings& updated) {
+  if (!isCompatible(current, updated))
+    throw std::invalid_argument("rule 2 (no effect twice): a class or tenant lost its place");
+}
+
+recovery::Limits recoveryLimits(const Settings& settings, recovery::Limits limits) {
+  limits.maxAttempts = settings.maxAttempts;
+  limits.idempotency.clear();
+  limits.priorityWeights.clear();
+  for (const ClassSettings& classSettings : settings.classes) {
+    limits.idempotency.push_back(classSettings.idempotency);
+    limits.priorityWeights.push_back(classSettings.priorityWeight);
+  }
+  return limits;
+}
+
+}  // namespace gannetcourse::router
--- a/tests/late_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -13,9 +13,9 @@
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
-class LateStatesTest : public ::testing::Test {
+class OrphanedStatesTest : public ::testing::Test {
  protected:
-  LateStatesTest() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
+  OrphanedStatesTest() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
     core.onEngineListUpdate(at(0),
                             EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
                                              {test::server(1, Role::kPrefill), test::server(2, Role::kDecode),
@@ -66,7 +66,7 @@
   std::vector<double> releases;
 };
 
-TEST_F(LateStatesTest, AReadThatWasGivenUpIsReleasedAgainAndAgainForAWhile) {
+TEST_F(OrphanedStatesTest, AReadThatWasGivenUpIsReleasedAgainAndAgainForAWhile) {
   reads(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
@@ -81,7 +81,7 @@
 }
 
 // Who answers what was sent later has seen the end of the connection before: one more release is enough.
-TEST_F(LateStatesTest, AnEngineThatAnswersWhatWasSentLaterHasEndedItsReads) {
+TEST_F(OrphanedStatesTest, AnEngineThatAnswersWhatWasSentLaterHasEndedItsReads) {
   reads(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
@@ -92,7 +92,7 @@
   EXPECT_EQ(releases.size(), 2U);
 }
 
-TEST_F(LateStatesTest, ADrainDoesNotWaitForThem) {
+TEST_F(OrphanedStatesTest, ADrainDoesNotWaitForThem) {
   reads(1, kRequest);
   core.drain(at(1.05));
   core.onClientDisconnected(at(1.1), kRequest);
@@ -103,7 +103,7 @@
 
 // While a later attempt of the request is out, or its state waits, a release by its name would take that
 // state.
-TEST_F(LateStatesTest, AreLeftToALaterAttemptOfTheRequest) {
+TEST_F(OrphanedStatesTest, AreLeftToALaterAttemptOfTheRequest) {
   const CallKey first = reads(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   CallKey second = 0;
@@ -129,7 +129,7 @@
 }
 
 // ... but the later attempt may not have arrived: then nothing stops the time of what the first one has left.
-TEST_F(LateStatesTest, AreNotPutOffForLongerThanTheLimitAllows) {
+TEST_F(OrphanedStatesTest, AreNotPutOffForLongerThanTheLimitAllows) {
   const CallKey first = reads(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   collect(1.1);
@@ -140,7 +140,7 @@
 
 // An error may have been a late second answer to an earlier call on that connection, and the read may go on:
 // its state is let go of once the request is over, again and again, and not under a later attempt.
-TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsLetGoOfAtTheEnd) {
+TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsLetGoOfAtTheEnd) {
   EngineListUpdate drains{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
   drains.entries.front().state = EngineEntry::State::kDraining;
   const CallKey first = reads(1, kRequest);
@@ -154,7 +154,7 @@
   EXPECT_LE(longestGap(), kPinLimit);
 }
 
-TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsForgottenWithTheFirstToken) {
+TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsForgottenWithTheFirstToken) {
   const CallKey first = reads(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey read = 0, write = 0;
@@ -177,7 +177,7 @@
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
-TEST_F(LateStatesTest, AReadThatWasAnsweredWithAnErrorIsNotLetGoOfUnderALaterAttempt) {
+TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsNotLetGoOfUnderALaterAttempt) {
   const CallKey first = reads(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey second = 0;
