--- a/include/gannetcourse/recovery.h
+++ b/include/gannetcourse/recovery.h
@@ -1,8 +1,11 @@
-// The recovery module: when a stream counts as lost, whether it goes on from another writer, when, and when
-// giving up at once is the better answer. No I/O, clock or threads; time comes in with each call. The policy
-// still picks reader and writer of a continuation.
+// The recovery module: when a stream counts as lost, whether and when it is continued at another decode
+// engine, and when to give it up at once is the better answer.
+//
+// No I/O, clock or threads; the time comes in with each call. The policy still picks the engines of a
+// continuation.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -14,154 +17,196 @@
 
 namespace gannetcourse::recovery {
 
-using StreamKey = std::uint64_t;  // the host's number of a stream
+using StreamKey = std::uint64_t;  ///< The host's number of a stream.
 
+/// What recovery may cost, and how long it waits. By class: the index is that of Settings::classes.
 struct Limits {
   bool enabled = true;
-  int maxContinuations = 3;      // continuations of one request, 0..100
-  int maxAttempts = 4;           // of one request in all; a continuation takes a read and a write
-  Duration minTimeLeft{0.5};     // with less until the client's time is up a continuation is not begun
-  Duration maxWait{1.5};         // that a lost stream waits for its turn
-  double rebuildShare = 0.5;     // prompt tokens that continuations may read, of those that new requests read
-  double rebuildBurst = 100000;  // ... and that they may read ahead of it, tokens
-  Duration minSilence{1.5};      // a stream that paused for less is never moved
-  double silenceFactor = 12;     // ... nor for less than this many times the pace of its class
-  double slowFactor = 4;         // a stream this many times slower than its class may be moved ...
-  Duration slowDuration{1.5};    // ... after it was that for so long, if it would be late else
-  Duration engineLease{2};       // an engine that hears nothing of this node for so long ends its streams
-  Duration fenceRetryInterval{
-      0.25};  // how often an engine that does not answer is asked whether a stream has ended
-  Duration migrationLeadTime{0.3};  // before an engine leaves, its long streams should be away
-  Duration goAwayGrace{3};          // how long an engine that says GOAWAY is taken to write on
-  std::uint64_t maxBufferedBytesPerStream = 64 * 1024;  // bytes of an answer that are kept for a continuation
-  std::uint64_t maxBufferedBytes = 64 * 1024 * 1024;    // ... of all answers of this node
-  std::vector<Idempotency> idempotency;                 // by class: only kSafe streams go on
-  std::vector<double> priorityWeights;                  // by class: who comes first when not all can
+
+  // ---- Whether a stream is continued ----
+  int maxContinuations = 3;  ///< Of one request, 0 to 100.
+  int maxAttempts = 4;  ///< Of one request in all; a continuation takes two, a prefill and a decode call.
+  Duration minTimeLeft{0.5};  ///< Until the client's deadline, for a continuation to begin.
+  Duration maxWait{1.5};      ///< How long a lost stream waits for its share of the budget.
+  double rebuildShare =
+      0.5;  ///< Prompt tokens that continuations may prefill, of those that new requests do.
+  double rebuildBurst = 100000;  ///< The same ahead of new requests, tokens.
+
+  // ---- When a stream is taken from its engine ----
+  Duration minSilence{1.5};         ///< A stream that paused for less is never migrated ...
+  double silenceFactor = 12;        ///< ... nor for less than so many times the token interval of its class.
+  double slowFactor = 4;            ///< A stream so many times slower than its class may be migrated ...
+  Duration slowDuration{1.5};       ///< ... after so long, if it would miss its deadline otherwise.
+  Duration migrationLeadTime{0.3};  ///< Before an engine shuts down, its long streams are to be elsewhere.
+  Duration goAwayGrace{3};          ///< How long an engine that sent GOAWAY is taken to go on sending.
+
+  // ---- When an attempt has ended for certain ----
+  Duration engineLease{2};  ///< An engine that hears nothing of this router for so long ends its streams.
+  Duration fenceRetryInterval{0.25};  ///< Between two fence requests to an engine that does not answer.
+
+  // ---- What is buffered ----
+  std::uint64_t maxBufferedBytesPerStream = 64 * 1024;
+  std::uint64_t maxBufferedBytes = 64 * 1024 * 1024;  ///< Of all streams.
+
+  std::vector<Idempotency> idempotency;  ///< By class: only kIdempotent streams are continued.
+  std::vector<double> priorityWeights;   ///< By class: the greater comes first when not all can be continued.
 };
 
-// A stream as it starts at a writer.
+/// A stream as it starts at a decode engine.
 struct Stream {
   std::size_t classIndex = 0;
   EngineId engine;
-  double promptTokens = 0;     // what a reader would have to read anew, without what is sent from here on
-  double remainingTokens = 0;  // that may still come, at most
-  Instant deadline{};          // when its client's time is up
-  int continuations = 0, attempts = 0;  // of its request so far
+  double promptTokens =
+      0;  ///< What a continuation would have to prefill, without the tokens sent from here on.
+  double remainingTokens = 0;  ///< The most that may still come.
+  Instant deadline{};
+  int continuations = 0, attempts = 0;  ///< Of its request so far.
 };
 
-// What the host knows of how a stream's attempt ended.
+/// What the host knows of how a stream's attempt ended.
 enum class AttemptEnd {
-  kConfirmed,  // the engine said so: by status, by a reset, or by closing the connection it was on
-  kAbandoned   // this node has given it up: the engine may not have heard of that
+  kConfirmed,  ///< The engine said so: by a status, a reset, or by closing the connection.
+  kAbandoned   ///< This router gave it up: the engine may not know.
 };
 
-// A stream that has ended before its answer was whole.
+/// A stream that has ended before its answer was complete.
 struct LostStream {
   StreamKey stream = 0;
   std::size_t classIndex = 0;
-  double tokensToPrefill = 0;  // to be read anew: the prompt and what was sent
+  double tokensToPrefill = 0;  ///< The prompt and what was sent.
   Duration timeUntilDeadline{0};
-  int continuations = 0, attempts = 0;  // of its request so far
+  int continuations = 0, attempts = 0;  ///< Of its request so far.
   AttemptEnd attemptEnd = AttemptEnd::kConfirmed;
 };
 
 enum class Disposition {
   kContinue,
-  kWait,        // for its turn
-  kFenceFirst,  // until its attempt is known to have ended: its engine is to be asked now
+  kWait,        ///< For the budget; takeDueStreams() names it later.
+  kFenceFirst,  ///< Its engine is to be asked to end the attempt; until that is certain it waits.
   kGiveUp
 };
 struct Decision {
   Disposition disposition = Disposition::kGiveUp;
-  std::string reason;  // for the records
+  std::string reason;  ///< For the records, and for the client where the stream is given up.
 };
 
+/// One router's streams, from their first token until forget(). Not thread-safe. `now` never goes back.
 class Recovery {
  public:
   explicit Recovery(Limits limits);
-  // Classes of before stay at their places with their effects; more may follow. The rest as at the start.
-  void updateClasses(std::vector<Idempotency> effects, std::vector<double> worths, int maxAttempts);
+  /// Earlier classes keep their index and their idempotency; more may follow. The other limits stay.
+  void updateClasses(std::vector<Idempotency> idempotency, std::vector<double> priorityWeights,
+                     int maxAttempts);
 
-  // Whether streams of this class are ever continued, so that their text is worth keeping.
+  /// Whether streams of this class are ever continued, so that their text is to be buffered.
   bool isResumable(std::size_t classIndex) const;
 
   // ---- Streams that run ----
-  void onStreamStarted(Instant now, StreamKey stream, const Stream& what);
-  // A token came. False once what is kept has passed its limit: the stream cannot be continued any more.
+  /// A continuation of a known stream keeps what counts as buffered for it.
+  void onStreamStarted(Instant now, StreamKey stream, const Stream& started);
+  /// A token has come. False once the buffered text exceeds its limit: the stream cannot be continued any
+  /// more.
   bool onToken(Instant now, StreamKey stream, std::size_t bytes);
-  void onClientPaused(Instant now, StreamKey stream,
-                      bool paused);  // its client takes nothing: silence means nothing
-  // The engine is to end `by` then; absent: it stays after all. One that is still there then has stayed.
-  void onEngineShutdownNotice(EngineId engine, std::optional<Instant> by);
-  void onGoAway(Instant now, EngineId engine);  // it says that it ends, not when
-
-  // Streams to be taken from their writers now, most worth first. Each has its turn: lost() lets it go on as
-  // soon as its attempt is known to have ended. These are streams
-  //  - that are silent for too long against their class's pace while others go on (where all stand still
-  //    nobody is moved),
-  //  - that would be late at the pace they have fallen to, and in time at their class's,
-  //  - whose writer is about to leave, spread over the time that it has left.
+  /// The client takes nothing, so that the stream's silence is not its engine's.
+  void onClientPaused(Instant now, StreamKey stream, bool paused);
+  /// The engine is to shut down at `endsAt`; absent: it stays after all. One that is still listed then has
+  /// stayed.
+  void onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt);
+  /// The engine is to shut down, and does not say when.
+  void onGoAway(Instant now, EngineId engine);
+
   struct Migration {
     StreamKey stream = 0;
     const char* reason = "";
   };
+  /// Streams to be taken from their engines now, the greatest priority weight first. Each has its share of
+  /// the budget: onStreamLost() continues it as soon as its attempt has ended for certain. These are streams
+  ///  - that are silent for too long, against the token interval of their class, while others go on (where
+  ///  all stand
+  ///    still none is migrated),
+  ///  - that would miss their deadline at their own rate and meet it at their class's,
+  ///  - whose engine is about to shut down, spread over the time that is left.
   std::vector<Migration> streamsToMigrate(Instant now);
 
   // ---- Streams that are lost ----
   Decision onStreamLost(Instant now, const LostStream& stream);
-  // The engine says that it writes nothing more of it: whether it goes on now.
+  /// The engine has confirmed that the attempt has ended: whether the stream is continued now, or waits.
   Disposition onAttemptFenced(Instant now, StreamKey stream);
-  // Those that have waited and may go on now, most worth first; those that have waited too long; and those
-  // whose engine should be asked to end them.
   struct DueStreams {
-    std::vector<StreamKey> toContinue, toGiveUp, toFence;
+    std::vector<StreamKey> toContinue;  ///< Now, the greatest priority weight first.
+    std::vector<StreamKey> toGiveUp;    ///< They have waited for too long.
+    std::vector<StreamKey> toFence;     ///< Their engine is to be asked, perhaps again.
   };
+  /// What is to be done with streams that wait. Those to continue or to give up wait no longer.
   DueStreams takeDueStreams(Instant now);
-  void forget(StreamKey stream);         // it is over, running or waiting
-  void onPrefillStarted(double tokens);  // a new request's read was sent: continuations earn their share
+  /// The request is over, whether its stream runs or waits.
+  void forget(StreamKey stream);
+  /// A new request's prefill has started: continuations earn their share.
+  void onPrefillStarted(double tokens);
 
-  std::optional<Instant> nextCheck() const;  // when moves() and turns() should be asked again
+  /// When streamsToMigrate() and takeDueStreams() are to be called; absent: there is no stream.
+  std::optional<Instant> nextCheck() const;
   std::uint64_t bufferedBytes() const { return bufferedBytes_; }
 
  private:
-  struct Running {
-    Stream what;
-    Instant lastToken, slowSince;
-    Duration gap{0};           // its own pace at this writer
-    std::uint64_t kept = 0;    // bytes
-    std::uint64_t tokens = 0;  // since it started at this writer
-    bool paused = false, resumable = true, lost = false, hasTurn = false, slow = false;
+  // From the first token on, also while it waits for a continuation.
+  struct TrackedStream {
+    Stream start;
+    Instant lastTokenAt, slowSince;
+    Duration tokenInterval{0};  // its own at this engine, averaged
+    std::uint64_t tokens = 0;   // since it started at this engine
+    std::uint64_t bufferedBytes = 0;
+    bool isPaused = false;
+    bool isBufferComplete = true;  // the whole text is buffered
+    bool isLost = false;
+    bool hasBudget = false;  // its continuation is paid for
+    bool isSlow = false;
   };
-  struct Waiting {
+  struct WaitingStream {
     LostStream lost;
-    Instant since, knownAt, askAt;  // knownAt: when its attempt has ended for certain
-    bool hasTurn = false;
+    Instant since;
+    Instant attemptEndsAt;  // when its attempt has ended for certain
+    Instant fenceAt;        // when its engine is asked next
+    bool hasBudget = false;
   };
-  struct Candidate {
-    Migration move;
-    double worth = 0, tokens = 0;
-    std::optional<EngineId> leaves;
+  struct MigrationCandidate {
+    Migration migration;
+    double priorityWeight = 0;
+    double tokensToPrefill = 0;
+    std::optional<EngineId> endingEngine;  // where that is the reason
   };
-  bool mayGoOn(const LostStream& stream, std::string& why) const;
-  bool eligible(Instant now, StreamKey key, const Running& r) const;
-  const char* reasonToMove(Instant now, const Running& r) const;
-  bool wouldBeLate(Instant now, const Running& r) const;
-  std::map<EngineId, std::size_t> waveSizes(Instant now, const std::vector<Candidate>& all) const;
-  bool someoneWaitsForATurn(Instant now) const;
-  void notePace(Instant now, Running& r);
-  double worth(std::size_t classIndex) const;
-  Duration& paceOf(std::size_t classIndex);
-  Duration pace(std::size_t classIndex) const;
+
+  // Null where nothing stands against it.
+  const char* reasonAgainstContinuation(const LostStream& stream) const;
+  bool canMigrate(Instant now, StreamKey key, const TrackedStream& stream) const;
+  const char* reasonToMigrate(Instant now, const TrackedStream& stream) const;
+  bool isSilent(Instant now, const TrackedStream& stream) const;
+  bool outlastsItsEngine(Instant now, const TrackedStream& stream) const;
+  bool wouldGainByMigration(Instant now, const TrackedStream& stream) const;
+  std::vector<MigrationCandidate> migrationCandidates(Instant now) const;
+  std::map<EngineId, std::size_t> migrationWaveSizes(Instant now,
+                                                     const std::vector<MigrationCandidate>& candidates) const;
+
+  bool isAnyWaitingForBudget(Instant now) const;
+  bool canAfford(double tokens) const { return budget_ >= tokens; }
+  Duration timeLeft(Instant now, const WaitingStream& waiting) const;
+  std::vector<WaitingStream*> waitingByPriority();
+  Disposition nextStep(Instant now, WaitingStream& waiting);
+
+  void updateTokenInterval(Instant now, TrackedStream& stream);
+  Duration& mutableClassTokenInterval(std::size_t classIndex);
+  Duration classTokenInterval(std::size_t classIndex) const;
+  double priorityWeight(std::size_t classIndex) const;
 
   Limits limits_;
-  std::unordered_map<StreamKey, Running> running_;
-  std::map<StreamKey, Waiting> waiting_;
-  std::vector<Duration> paces_;  // by class: the usual time between tokens
-  Instant heard_{};              // when any stream last brought a token
-  double budget_;
+  std::unordered_map<StreamKey, TrackedStream> streams_;
+  std::map<StreamKey, WaitingStream> waiting_;
+  std::vector<Duration> classTokenIntervals_;  // typical time between two tokens, by class
+  Instant lastTokenAt_{};                      // of any stream
+  double budget_;                              // tokens that continuations may prefill
   std::uint64_t bufferedBytes_ = 0;
-  std::map<EngineId, Instant> leaving_;
-  Instant lastLook_{};
+  std::map<EngineId, Instant> shutdownAt_;
+  Instant lastCheckAt_{};
 };
 
 }  // namespace gannetcourse::recovery
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -7,24 +7,30 @@
 namespace gannetcourse::recovery {
 namespace {
 
-constexpr double kPaceStep = 0.05;    // how far one gap moves the pace of its class
-constexpr double kStreamStep = 0.25;  // ... and a stream's own
-constexpr std::uint64_t kPaceOf = 6;  // tokens after which a stream's own pace means something
-const Duration kLook{0.1};            // how often streams and turns are looked at
-const Duration kFirstPace{0.05};      // of a class that has not been seen yet
-const Duration kLeastGap{1e-6};       // tokens that come together: a pace of nothing would be no measure
+constexpr double kClassIntervalGain = 0.05;     // how far one token moves the average of its class
+constexpr double kStreamIntervalGain = 0.25;    // the same of its own stream
+constexpr std::uint64_t kMinTokensForSlow = 6;  // before a stream's own average means something
+constexpr int kAttemptsPerContinuation = 2;     // a prefill and a decode call
+const Duration kCheckInterval{0.1};
+const Duration kInitialTokenInterval{0.05};  // of a class without any token yet
+const Duration kMinTokenInterval{1e-6};      // tokens that come together would make an average of zero
 
 constexpr const char* kSilent = "went silent";
 constexpr const char* kSlow = "too slow to be in time";
-constexpr const char* kLeaves = "its writer is leaving";
+constexpr const char* kEngineEnds = "its writer is leaving";
+
+double tokensLeft(const Stream& start, std::uint64_t tokens) {
+  return start.remainingTokens - static_cast<double>(tokens);
+}
 
 }  // namespace
 
 Recovery::Recovery(Limits limits) : limits_(std::move(limits)), budget_(limits_.rebuildBurst) {}
 
-void Recovery::updateClasses(std::vector<Idempotency> effects, std::vector<double> worths, int maxAttempts) {
-  limits_.idempotency = std::move(effects);
-  limits_.priorityWeights = std::move(worths);
+void Recovery::updateClasses(std::vector<Idempotency> idempotency, std::vector<double> priorityWeights,
+                             int maxAttempts) {
+  limits_.idempotency = std::move(idempotency);
+  limits_.priorityWeights = std::move(priorityWeights);
   limits_.maxAttempts = maxAttempts;
 }
 
@@ -33,60 +39,72 @@
          limits_.idempotency[classIndex] == Idempotency::kIdempotent;
 }
 
+double Recovery::priorityWeight(std::size_t classIndex) const {
+  return classIndex < limits_.priorityWeights.size() ? limits_.priorityWeights[classIndex] : 1;
+}
+
 // ---- Streams that run ----
-void Recovery::onStreamStarted(Instant now, StreamKey stream, const Stream& what) {
-  Running& r = running_[stream];  // a continuation keeps what it has
-  const bool resumable = r.resumable && isResumable(what.classIndex);
-  const std::uint64_t kept = r.kept;
-  r = {};
-  r.what = what;
-  r.kept = kept;
-  r.resumable = resumable;
-  r.lastToken = now;
-  heard_ = now;
+
+void Recovery::onStreamStarted(Instant now, StreamKey stream, const Stream& started) {
+  TrackedStream& tracked = streams_[stream];
+  TrackedStream fresh;
+  fresh.start = started;
+  fresh.bufferedBytes = tracked.bufferedBytes;
+  fresh.isBufferComplete = tracked.isBufferComplete && isResumable(started.classIndex);
+  fresh.lastTokenAt = now;
+  tracked = fresh;
+  lastTokenAt_ = now;
 }
 
-// The pace counts gaps of streams whose client reads; a long gap counts as the limit, or one hang would slow
-// it.
-void Recovery::notePace(Instant now, Running& r) {
-  const Duration gap = std::clamp(now - r.lastToken, kLeastGap, limits_.minSilence);
-  Duration& usual = paceOf(r.what.classIndex);
-  usual += (gap - usual) * kPaceStep;
-  r.gap = r.tokens > 1 ? r.gap + (gap - r.gap) * kStreamStep : gap;
-  const bool slow = r.tokens >= kPaceOf && r.gap > usual * limits_.slowFactor;
-  if (slow && !r.slow) r.slowSince = now;
-  r.slow = slow;
+// Only intervals of streams whose client reads count. A long one counts as minSilence, or a single hang would
+// raise the average.
+void Recovery::updateTokenInterval(Instant now, TrackedStream& stream) {
+  const Duration interval = std::clamp(now - stream.lastTokenAt, kMinTokenInterval, limits_.minSilence);
+  Duration& ofClass = mutableClassTokenInterval(stream.start.classIndex);
+  ofClass += (interval - ofClass) * kClassIntervalGain;
+  const bool isFirstInterval = stream.tokens <= 1;
+  if (isFirstInterval) {
+    stream.tokenInterval = interval;
+  } else {
+    stream.tokenInterval = stream.tokenInterval + (interval - stream.tokenInterval) * kStreamIntervalGain;
+  }
+  const bool isSlow =
+      stream.tokens >= kMinTokensForSlow && stream.tokenInterval > ofClass * limits_.slowFactor;
+  if (isSlow && !stream.isSlow) stream.slowSince = now;
+  stream.isSlow = isSlow;
 }
 
 bool Recovery::onToken(Instant now, StreamKey stream, std::size_t bytes) {
-  const auto it = running_.find(stream);
-  if (it == running_.end()) return false;
-  Running& r = it->second;
-  if (r.tokens > 0 && !r.paused) notePace(now, r);
-  ++r.tokens;
-  r.lastToken = now;
-  heard_ = now;
-  if (!r.resumable) return false;
-  r.kept += bytes;
+  const auto it = streams_.find(stream);
+  if (it == streams_.end()) return false;
+  TrackedStream& tracked = it->second;
+  if (tracked.tokens > 0 && !tracked.isPaused) updateTokenInterval(now, tracked);
+  ++tracked.tokens;
+  tracked.lastTokenAt = now;
+  lastTokenAt_ = now;
+  if (!tracked.isBufferComplete) return false;
+  tracked.bufferedBytes += bytes;
   bufferedBytes_ += bytes;
-  if (r.kept <= limits_.maxBufferedBytesPerStream && bufferedBytes_ <= limits_.maxBufferedBytes) return true;
-  r.resumable = false;
-  bufferedBytes_ -= std::exchange(r.kept, 0);
+  const bool isWithinLimits = tracked.bufferedBytes <= limits_.maxBufferedBytesPerStream &&
+                              bufferedBytes_ <= limits_.maxBufferedBytes;
+  if (isWithinLimits) return true;
+  tracked.isBufferComplete = false;
+  bufferedBytes_ -= std::exchange(tracked.bufferedBytes, 0);
   return false;
 }
 
 void Recovery::onClientPaused(Instant now, StreamKey stream, bool paused) {
-  const auto it = running_.find(stream);
-  if (it == running_.end()) return;
-  it->second.paused = paused;
-  it->second.lastToken = now;  // what was held back comes first
+  const auto it = streams_.find(stream);
+  if (it == streams_.end()) return;
+  it->second.isPaused = paused;
+  it->second.lastTokenAt = now;  // after a pause the tokens that were kept back come first
 }
 
-void Recovery::onEngineShutdownNotice(EngineId engine, std::optional<Instant> by) {
-  if (by) {
-    leaving_[engine] = *by;
+void Recovery::onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt) {
+  if (endsAt) {
+    shutdownAt_[engine] = *endsAt;
   } else {
-    leaving_.erase(engine);
+    shutdownAt_.erase(engine);
   }
 }
 
@@ -94,180 +112,233 @@
   onEngineShutdownNotice(engine, now + limits_.goAwayGrace);
 }
 
-Duration& Recovery::paceOf(std::size_t classIndex) {
-  if (paces_.size() <= classIndex) paces_.resize(classIndex + 1, kFirstPace);
-  return paces_[classIndex];
+Duration& Recovery::mutableClassTokenInterval(std::size_t classIndex) {
+  if (classTokenIntervals_.size() <= classIndex)
+    classTokenIntervals_.resize(classIndex + 1, kInitialTokenInterval);
+  return classTokenIntervals_[classIndex];
+}
+
+Duration Recovery::classTokenInterval(std::size_t classIndex) const {
+  return classIndex < classTokenIntervals_.size() ? classTokenIntervals_[classIndex] : kInitialTokenInterval;
 }
 
-Duration Recovery::pace(std::size_t classIndex) const {
-  return classIndex < paces_.size() ? paces_[classIndex] : kFirstPace;
+// ---- Migration ----
+
+// A stream that could not be continued elsewhere is better off where it is.
+bool Recovery::canMigrate(Instant now, StreamKey key, const TrackedStream& stream) const {
+  if (stream.isPaused || stream.isLost || stream.tokens == 0) return false;
+  LostStream afterwards;
+  afterwards.stream = key;
+  afterwards.classIndex = stream.start.classIndex;
+  afterwards.timeUntilDeadline = stream.start.deadline - now;
+  afterwards.continuations = stream.start.continuations;
+  afterwards.attempts = stream.start.attempts;
+  return reasonAgainstContinuation(afterwards) == nullptr;
 }
 
-// A stream that could not go on elsewhere is better off where it is.
-bool Recovery::eligible(Instant now, StreamKey key, const Running& r) const {
-  if (r.paused || r.lost || r.tokens == 0) return false;
-  std::string why;
-  return mayGoOn({key, r.what.classIndex, 0, r.what.deadline - now, r.what.continuations, r.what.attempts,
-                  AttemptEnd::kConfirmed},
-                 why);
+// Where no stream brings anything, the router or the network stands still, not an engine.
+bool Recovery::isSilent(Instant now, const TrackedStream& stream) const {
+  const Duration typical = classTokenInterval(stream.start.classIndex);
+  const Duration patience = std::max(limits_.minSilence, typical * limits_.silenceFactor);
+  const bool othersGoOn = lastTokenAt_ > stream.lastTokenAt + patience / 2;
+  return now - stream.lastTokenAt > patience && othersGoOn;
 }
 
-// Late if it stays, in time if it moves: else a move gains nothing.
-bool Recovery::wouldBeLate(Instant now, const Running& r) const {
-  const double left = r.what.remainingTokens - static_cast<double>(r.tokens);
-  return now + r.gap * left > r.what.deadline &&
-         now + limits_.minTimeLeft + pace(r.what.classIndex) * left < r.what.deadline;
+bool Recovery::outlastsItsEngine(Instant now, const TrackedStream& stream) const {
+  const auto shutdown = shutdownAt_.find(stream.start.engine);
+  if (shutdown == shutdownAt_.end()) return false;
+  const Duration typical = classTokenInterval(stream.start.classIndex);
+  return now + typical * tokensLeft(stream.start, stream.tokens) > shutdown->second;
 }
 
-const char* Recovery::reasonToMove(Instant now, const Running& r) const {
-  const Duration usual = pace(r.what.classIndex);
-  const Duration patience = std::max(limits_.minSilence, usual * limits_.silenceFactor);
-  // Where no stream shows a sign of life, the node or the net stands still, not a writer.
-  if (now - r.lastToken > patience && heard_ > r.lastToken + patience / 2) return kSilent;
-  const auto leaves = leaving_.find(r.what.engine);
-  const double left = r.what.remainingTokens - static_cast<double>(r.tokens);
-  if (leaves != leaving_.end() && now + usual * left > leaves->second) return kLeaves;
-  if (r.slow && now - r.slowSince > limits_.slowDuration && wouldBeLate(now, r)) return kSlow;
+// Whether it would miss its deadline here and meet it elsewhere.
+bool Recovery::wouldGainByMigration(Instant now, const TrackedStream& stream) const {
+  const double left = tokensLeft(stream.start, stream.tokens);
+  const Duration typical = classTokenInterval(stream.start.classIndex);
+  const bool isLateHere = now + stream.tokenInterval * left > stream.start.deadline;
+  const bool isInTimeElsewhere = now + limits_.minTimeLeft + typical * left < stream.start.deadline;
+  return isLateHere && isInTimeElsewhere;
+}
+
+const char* Recovery::reasonToMigrate(Instant now, const TrackedStream& stream) const {
+  if (isSilent(now, stream)) return kSilent;
+  if (outlastsItsEngine(now, stream)) return kEngineEnds;
+  const bool isSlowForLong = stream.isSlow && now - stream.slowSince > limits_.slowDuration;
+  if (isSlowForLong && wouldGainByMigration(now, stream)) return kSlow;
   return nullptr;
 }
 
-// How many streams leave each engine at this look, so that all are away in time and not all at once.
-std::map<EngineId, std::size_t> Recovery::waveSizes(Instant now, const std::vector<Candidate>& all) const {
+std::vector<Recovery::MigrationCandidate> Recovery::migrationCandidates(Instant now) const {
+  std::vector<MigrationCandidate> candidates;
+  for (const auto& [key, stream] : streams_) {
+    const char* const reason = reasonToMigrate(now, stream);
+    if (reason == nullptr || !canMigrate(now, key, stream)) continue;
+    MigrationCandidate candidate;
+    candidate.migration = {key, reason};
+    candidate.priorityWeight = priorityWeight(stream.start.classIndex);
+    candidate.tokensToPrefill = stream.start.promptTokens + static_cast<double>(stream.tokens);
+    if (reason == kEngineEnds) candidate.endingEngine = stream.start.engine;
+    candidates.push_back(candidate);
+  }
+  std::sort(candidates.begin(), candidates.end(),
+            [](const MigrationCandidate& a, const MigrationCandidate& b) {
+              if (a.priorityWeight != b.priorityWeight) return a.priorityWeight > b.priorityWeight;
+              return a.migration.stream < b.migration.stream;
+            });
+  return candidates;
+}
+
+// How many streams may leave each engine at this check, so that all are elsewhere in time and not all at
+// once.
+std::map<EngineId, std::size_t> Recovery::migrationWaveSizes(
+    Instant now, const std::vector<MigrationCandidate>& candidates) const {
   std::map<EngineId, std::size_t> sizes;
-  for (const Candidate& c : all) {
-    if (c.leaves) ++sizes[*c.leaves];
+  for (const MigrationCandidate& candidate : candidates) {
+    if (candidate.endingEngine) ++sizes[*candidate.endingEngine];
   }
   for (auto& [engine, size] : sizes) {
-    const Duration left = leaving_.at(engine) - limits_.migrationLeadTime - now;
-    const double looks = std::max(1.0, left / kLook);
-    size = static_cast<std::size_t>(std::ceil(static_cast<double>(size) / looks));
+    const Duration left = shutdownAt_.at(engine) - limits_.migrationLeadTime - now;
+    const double checksLeft = std::max(1.0, left / kCheckInterval);
+    size = static_cast<std::size_t>(std::ceil(static_cast<double>(size) / checksLeft));
   }
   return sizes;
 }
 
 std::vector<Recovery::Migration> Recovery::streamsToMigrate(Instant now) {
-  lastLook_ = now;
-  std::vector<Migration> found;
-  std::vector<Candidate> all;
-  if (!limits_.enabled) return found;
-  std::erase_if(leaving_, [now](const auto& engine) { return engine.second < now; });
-  for (const auto& [key, r] : running_) {
-    const char* const why = reasonToMove(now, r);
-    if (why == nullptr || !eligible(now, key, r)) continue;
-    Candidate c{
-        {key, why}, worth(r.what.classIndex), r.what.promptTokens + static_cast<double>(r.tokens), {}};
-    if (why == kLeaves) c.leaves = r.what.engine;
-    all.push_back(c);
-  }
-  std::sort(all.begin(), all.end(), [](const Candidate& a, const Candidate& b) {
-    return a.worth != b.worth ? a.worth > b.worth : a.move.stream < b.move.stream;
-  });
-  std::map<EngineId, std::size_t> waves = waveSizes(now, all);
-  for (const Candidate& c : all) {
-    if (budget_ < c.tokens || (c.leaves && waves[*c.leaves] == 0)) continue;
-    if (c.leaves) --waves[*c.leaves];
-    budget_ -= c.tokens;
-    running_.at(c.move.stream).hasTurn = true;
-    found.push_back(c.move);
+  lastCheckAt_ = now;
+  std::vector<Migration> migrations;
+  if (!limits_.enabled) return migrations;
+  std::erase_if(shutdownAt_, [now](const auto& engine) { return engine.second < now; });
+  const std::vector<MigrationCandidate> candidates = migrationCandidates(now);
+  std::map<EngineId, std::size_t> waves = migrationWaveSizes(now, candidates);
+  for (const MigrationCandidate& candidate : candidates) {
+    if (!canAfford(candidate.tokensToPrefill)) continue;
+    if (candidate.endingEngine) {
+      std::size_t& wave = waves[*candidate.endingEngine];
+      if (wave == 0) continue;
+      --wave;
+    }
+    budget_ -= candidate.tokensToPrefill;
+    streams_.at(candidate.migration.stream).hasBudget = true;
+    migrations.push_back(candidate.migration);
   }
-  return found;
+  return migrations;
 }
 
 // ---- Streams that are lost ----
-double Recovery::worth(std::size_t classIndex) const {
-  return classIndex < limits_.priorityWeights.size() ? limits_.priorityWeights[classIndex] : 1;
-}
 
-bool Recovery::mayGoOn(const LostStream& stream, std::string& why) const {
-  const auto running = running_.find(stream.stream);
-  if (!limits_.enabled) {
-    why = "recovery is off";
-  } else if (!isResumable(stream.classIndex)) {
-    why = "its effect may have happened";  // rule 2: it is not asked for again
-  } else if (running == running_.end() || !running->second.resumable) {
-    why = "its text was not kept";
-  } else if (stream.continuations >= limits_.maxContinuations) {
-    why = "moved too often";
-  } else if (stream.attempts + 2 > limits_.maxAttempts) {
-    why = "no attempts left";
-  } else if (stream.timeUntilDeadline < limits_.minTimeLeft) {
-    why = "no time left";
-  } else {
-    return true;
-  }
-  return false;
+const char* Recovery::reasonAgainstContinuation(const LostStream& stream) const {
+  if (!limits_.enabled) return "recovery is off";
+  if (!isResumable(stream.classIndex)) return "its effect may have happened";  // rule 2: no effect twice
+  const auto tracked = streams_.find(stream.stream);
+  if (tracked == streams_.end() || !tracked->second.isBufferComplete) return "its text was not kept";
+  if (stream.continuations >= limits_.maxContinuations) return "moved too often";
+  if (stream.attempts + kAttemptsPerContinuation > limits_.maxAttempts) return "no attempts left";
+  if (stream.timeUntilDeadline < limits_.minTimeLeft) return "no time left";
+  return nullptr;
 }
 
-bool Recovery::someoneWaitsForATurn(Instant now) const {
-  return std::any_of(waiting_.begin(), waiting_.end(),
-                     [now](const auto& w) { return !w.second.hasTurn && w.second.knownAt <= now; });
+bool Recovery::isAnyWaitingForBudget(Instant now) const {
+  return std::any_of(waiting_.begin(), waiting_.end(), [now](const auto& entry) {
+    const WaitingStream& waiting = entry.second;
+    return !waiting.hasBudget && waiting.attemptEndsAt <= now;
+  });
 }
 
+// Against a storm of continuations, what they prefill is a share of what new requests do, plus a burst.
 Decision Recovery::onStreamLost(Instant now, const LostStream& stream) {
-  Decision decision;
-  if (!mayGoOn(stream, decision.reason)) return decision;
-  Running& r = running_.at(stream.stream);
-  r.lost = true;
-  const bool known = stream.attemptEnd == AttemptEnd::kConfirmed;
-  bool hasTurn = std::exchange(r.hasTurn, false);
-  // No storm: what continuations read is a share of what new requests read, plus a burst. Who waits, waits
-  // briefly.
-  if (known && !hasTurn && budget_ >= stream.tokensToPrefill && !someoneWaitsForATurn(now)) {
+  const char* const reasonAgainst = reasonAgainstContinuation(stream);
+  if (reasonAgainst != nullptr) return {Disposition::kGiveUp, reasonAgainst};
+  TrackedStream& tracked = streams_.at(stream.stream);
+  tracked.isLost = true;
+  bool hasBudget = std::exchange(tracked.hasBudget, false);
+  const bool hasEnded = stream.attemptEnd == AttemptEnd::kConfirmed;
+  if (hasEnded && !hasBudget && canAfford(stream.tokensToPrefill) && !isAnyWaitingForBudget(now)) {
     budget_ -= stream.tokensToPrefill;
-    hasTurn = true;
+    hasBudget = true;
   }
-  if (known && hasTurn) return {Disposition::kContinue, "goes on from another writer"};
-  waiting_[stream.stream] = {stream, now, known ? now : now + limits_.engineLease,
-                             now + limits_.fenceRetryInterval, hasTurn};
-  if (known) return {Disposition::kWait, "waits for its turn"};
-  return {Disposition::kFenceFirst, "waits until its last attempt is known to have ended"};
+  if (hasEnded && hasBudget) return {Disposition::kContinue, "continues at another decode engine"};
+  WaitingStream waiting;
+  waiting.lost = stream;
+  waiting.since = now;
+  waiting.attemptEndsAt = hasEnded ? now : now + limits_.engineLease;
+  waiting.fenceAt = now + limits_.fenceRetryInterval;
+  waiting.hasBudget = hasBudget;
+  waiting_[stream.stream] = waiting;
+  if (hasEnded) return {Disposition::kWait, "waits for the continuation budget"};
+  return {Disposition::kFenceFirst, "waits until its last attempt has ended for certain"};
+}
+
+Duration Recovery::timeLeft(Instant now, const WaitingStream& waiting) const {
+  return waiting.lost.timeUntilDeadline - (now - waiting.since);
 }
 
 Disposition Recovery::onAttemptFenced(Instant now, StreamKey stream) {
   const auto it = waiting_.find(stream);
   if (it == waiting_.end()) return Disposition::kWait;
-  Waiting& w = it->second;
-  const bool mayHaveTurn = w.hasTurn || (budget_ >= w.lost.tokensToPrefill && !someoneWaitsForATurn(now));
-  w.knownAt = std::min(w.knownAt, now);
-  if (!mayHaveTurn || w.lost.timeUntilDeadline - (now - w.since) < limits_.minTimeLeft)
-    return Disposition::kWait;
-  if (!w.hasTurn) budget_ -= w.lost.tokensToPrefill;
+  WaitingStream& waiting = it->second;
+  const double tokens = waiting.lost.tokensToPrefill;
+  const bool canContinue = waiting.hasBudget || (canAfford(tokens) && !isAnyWaitingForBudget(now));
+  waiting.attemptEndsAt = std::min(waiting.attemptEndsAt, now);
+  if (!canContinue || timeLeft(now, waiting) < limits_.minTimeLeft) return Disposition::kWait;
+  if (!waiting.hasBudget) budget_ -= tokens;
   waiting_.erase(it);
   return Disposition::kContinue;
 }
 
-Recovery::DueStreams Recovery::takeDueStreams(Instant now) {
-  std::vector<Waiting*> order;
+std::vector<Recovery::WaitingStream*> Recovery::waitingByPriority() {
+  std::vector<WaitingStream*> order;
   for (auto& [key, waiting] : waiting_) order.push_back(&waiting);
-  std::stable_sort(order.begin(), order.end(), [this](const Waiting* a, const Waiting* b) {
-    return worth(a->lost.classIndex) > worth(b->lost.classIndex);
+  std::stable_sort(order.begin(), order.end(), [this](const WaitingStream* a, const WaitingStream* b) {
+    return priorityWeight(a->lost.classIndex) > priorityWeight(b->lost.classIndex);
   });
-  DueStreams turns;
-  for (Waiting* const w : order) {
-    const bool known = now >= w->knownAt;
-    const bool tooLong = known && !w->hasTurn && now - w->knownAt > limits_.maxWait;
-    if (tooLong || w->lost.timeUntilDeadline - (now - w->since) < limits_.minTimeLeft) {
-      turns.toGiveUp.push_back(w->lost.stream);
-    } else if (!known) {
-      if (now < w->askAt) continue;
-      w->askAt = now + limits_.fenceRetryInterval;
-      turns.toFence.push_back(w->lost.stream);
-    } else if (w->hasTurn || budget_ >= w->lost.tokensToPrefill) {
-      if (!w->hasTurn) budget_ -= w->lost.tokensToPrefill;
-      turns.toContinue.push_back(w->lost.stream);
+  return order;
+}
+
+Disposition Recovery::nextStep(Instant now, WaitingStream& waiting) {
+  const bool hasEnded = now >= waiting.attemptEndsAt;
+  const bool waitedTooLong = hasEnded && !waiting.hasBudget && now - waiting.attemptEndsAt > limits_.maxWait;
+  if (waitedTooLong || timeLeft(now, waiting) < limits_.minTimeLeft) return Disposition::kGiveUp;
+  if (!hasEnded) {
+    if (now < waiting.fenceAt) return Disposition::kWait;
+    waiting.fenceAt = now + limits_.fenceRetryInterval;
+    return Disposition::kFenceFirst;
+  }
+  if (waiting.hasBudget) return Disposition::kContinue;
+  if (!canAfford(waiting.lost.tokensToPrefill)) return Disposition::kWait;
+  budget_ -= waiting.lost.tokensToPrefill;
+  return Disposition::kContinue;
+}
+
+Recovery::DueStreams Recovery::takeDueStreams(Instant now) {
+  DueStreams due;
+  for (WaitingStream* const waiting : waitingByPriority()) {
+    const StreamKey key = waiting->lost.stream;
+    switch (nextStep(now, *waiting)) {
+      case Disposition::kContinue:
+        due.toContinue.push_back(key);
+        break;
+      case Disposition::kGiveUp:
+        due.toGiveUp.push_back(key);
+        break;
+      case Disposition::kFenceFirst:
+        due.toFence.push_back(key);
+        break;
+      case Disposition::kWait:
+        break;
     }
   }
-  for (const StreamKey key : turns.toContinue) waiting_.erase(key);
-  for (const StreamKey key : turns.toGiveUp) waiting_.erase(key);
-  return turns;
+  for (const StreamKey key : due.toContinue) waiting_.erase(key);
+  for (const StreamKey key : due.toGiveUp) waiting_.erase(key);
+  return due;
 }
 
 void Recovery::forget(StreamKey stream) {
   waiting_.erase(stream);
-  const auto it = running_.find(stream);
-  if (it == running_.end()) return;
-  bufferedBytes_ -= it->second.kept;
-  running_.erase(it);
+  const auto it = streams_.find(stream);
+  if (it == streams_.end()) return;
+  bufferedBytes_ -= it->second.bufferedBytes;
+  streams_.erase(it);
 }
 
 void Recovery::onPrefillStarted(double tokens) {
@@ -275,8 +346,8 @@
 }
 
 std::optional<Instant> Recovery::nextCheck() const {
-  if (running_.empty() && waiting_.empty()) return std::nullopt;
-  return lastLook_ + kLook;
+  if (streams_.empty() && waiting_.empty()) return std::nullopt;
+  return lastCheckAt_ + kCheckInterval;
 }
 
 }  // namespace gannetcourse::recovery
