--- /dev/null
+++ b/src/policy/attempt_manager.cpp
@@ -0,0 +1,123 @@
+#include "attempt_manager.h"
+
+#include <algorithm>
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+void AttemptManager::startPrefill(Request& request, const PrefillPlan& plan) {
+  Engine& engine = *plan.engine;
+  request.queuedPrefillTokens = request.arrival.promptTokens - plan.cachedTokens + kPrefillFixedTokens;
+  request.combinedPrefillAndDecode = plan.combinedPrefillAndDecode;
+  engine.attempts.queuedPrefillTokens += request.queuedPrefillTokens;
+  engine.attempts.prefilling += 1;
+  request.stage = RequestStage::kPrefilling;
+  const Duration wait = plan.combinedPrefillAndDecode ? costs_.firstTokenWait(engine) : Duration(0);
+  start(request, engine, plan.prefillTime + wait);
+}
+
+void AttemptManager::startDecode(Request& request, Engine& engine, Engine& from) {
+  request.stage = RequestStage::kDecoding;
+  request.combinedPrefillAndDecode = false;
+  engine.attempts.awaitingFirstToken += 1;
+  from.attempts.sendingState += 1;
+  const Duration transfer =
+      costs_.transferTime(from, linkBetween(from, engine), request.arrival.promptTokens);
+  start(request, engine, transfer + costs_.firstTokenWait(engine));
+}
+
+void AttemptManager::start(Request& request, Engine& engine, Duration expectedDuration) {
+  const Instant now = context_.now();
+  request.engine = engine.entry.id;
+  request.attemptInFlight = true;
+  request.attemptStartedAt = now;
+  request.expectedDuration = expectedDuration;
+  request.cancelRequested = false;
+  request.overtaken = false;
+  ++request.attemptCount;
+  if (request.attemptHasEffect()) {
+    engine.attempts.decodeTokens += request.memoryNeeded;
+    engine.process.recentTokens.add(request.memoryNeeded, now, kReportLag);
+  }
+  slowStart_.recordAttempt(engine, request);
+  const Tokens expectedCached =
+      request.stage == RequestStage::kPrefilling
+          ? request.arrival.promptTokens + kPrefillFixedTokens - request.queuedPrefillTokens
+          : 0;
+  context_.emit(StartAttempt{request.arrival.id, engine.entry.id, timeoutOf(request), expectedDuration,
+                             expectedCached});
+}
+
+// Where attempts can be cancelled, silence ends them, and the timeout only leaves time for another attempt.
+Duration AttemptManager::timeoutOf(const Request& request) const {
+  const double share = retrySafety_.canRetryAfterAttempt(request) ? kRetryTimeFactor : 1;
+  const Duration longest = (request.deadline - context_.now()) * share;
+  return context_.settings().cancelAllowed ? longest : std::min(longest, patience(request));
+}
+
+// How long an attempt may take before its engine counts as silent; under overload all of them take long.
+Duration AttemptManager::patience(const Request& request) const {
+  const Duration usual = std::max(request.expectedDuration, costs_.typicalDuration(request));
+  const Duration least = kTimeoutObjectiveFactor * (request.objectiveAt - request.arrivedAt);
+  return std::max(kTimeoutFactor * usual, least) * (1 + request.timeouts);
+}
+
+void AttemptManager::onStreamStarted(Request& request, Engine& engine) {
+  endStateTransfer(request);
+  engine.attempts.queuedPrefillTokens -= request.queuedPrefillTokens;
+  request.queuedPrefillTokens = 0;
+  if (request.stage == RequestStage::kPrefilling) {
+    engine.attempts.prefilling -= 1;
+  } else {
+    engine.attempts.awaitingFirstToken -= 1;
+  }
+  engine.attempts.streaming += 1;
+  request.stage = RequestStage::kStreaming;
+  request.streamStartedAt = context_.now();
+}
+
+void AttemptManager::onEnded(Request& request) {
+  Engine& engine = registry_.findOrCreate(request.engine);
+  EngineAttempts& attempts = engine.attempts;
+  const bool streaming = request.stage == RequestStage::kStreaming;
+  if (streaming) attempts.streaming -= 1;
+  if (request.stage == RequestStage::kPrefilling) attempts.prefilling -= 1;
+  if (request.stage == RequestStage::kDecoding) attempts.awaitingFirstToken -= 1;
+  if (request.attemptHasEffect() || streaming) attempts.decodeTokens -= request.memoryNeeded;
+  attempts.queuedPrefillTokens -= request.queuedPrefillTokens;
+  endStateTransfer(request);
+  request.queuedPrefillTokens = 0;
+  request.attemptInFlight = false;
+}
+
+void AttemptManager::endStateTransfer(const Request& request) {
+  if (request.stage != RequestStage::kDecoding) return;
+  registry_.findOrCreate(request.prefillEngine).attempts.sendingState -= 1;
+}
+
+// Guards against silence, be it a hang, a stall or a cut link: an engine whose attempts are late is avoided
+// early, and they are cancelled while others could follow; with twice the patience where, under overload,
+// those would be late as well. An attempt that later ones of its class have overtaken at its engine is lost
+// on its way.
+void AttemptManager::watch(Request& request) {
+  Engine& engine = registry_.findOrCreate(request.engine);
+  const bool silent = EngineHealth::isSilentTo(engine, request);
+  const Duration limit = patience(request);
+  const Duration late = context_.now() - request.attemptStartedAt - limit;
+  if (silent) health_.recordOverdue(engine, late + limit / 2);
+  request.overtaken = !silent && EngineHealth::hasOvertaken(engine, request);
+  const bool anotherWouldBeLate = context_.now() + request.expectedDuration > request.objectiveAt;
+  const bool over = late > (anotherWouldBeLate ? limit : Duration(0));
+  if (!over || (!silent && !request.overtaken)) return;
+  if (request.cancelRequested || !context_.settings().cancelAllowed) return;
+  if (!retrySafety_.canRetryAfterAttempt(request)) return;
+  request.cancelRequested = true;
+  cancel(request);
+}
+
+void AttemptManager::cancel(Request& request) {
+  context_.emit(CancelAttempt{request.arrival.id, request.newestAttempt()});
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/cost_model.cpp
@@ -0,0 +1,128 @@
+#include "cost_model.h"
+
+#include <algorithm>
+
+#include "load_report_bounds.h"
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+LinkKind linkBetween(const Engine& from, const Engine& to) {
+  if (from.entry.zone != to.entry.zone) return LinkKind::kOtherZone;
+  return from.entry.cell == to.entry.cell ? LinkKind::kSameCell : LinkKind::kSameZone;
+}
+
+void CostModel::updatePriors() {
+  const Instant since = context_.now() - kPeerSampleAge;
+  prefillCostPrior_ = prefillCosts_.medianSince(since, kPrefillCostPrior);
+  decodeWaitPrior_ = decodeWaits_.medianSince(since, kFirstTokenWaitPrior);
+  prefillWaitPrior_ = prefillWaits_.medianSince(since, Duration(0));
+}
+
+// In a queue all prefills take long, so the base cost follows the quickest tenth. Only an engine that stands
+// out counts as slow, or sessions would move for noise and lose what is cached.
+Duration CostModel::prefillTimePerToken(const Engine& engine) const {
+  const Duration own =
+      engine.process.performance.prefillCost.get(context_.now(), prefillCostPrior_, kLearning);
+  const double slowdown = own / prefillCostPrior_;
+  return baseCost_ * (slowdown > kSlowPrefillFactor ? slowdown : 1);
+}
+
+Duration CostModel::prefillTime(const Engine& engine, Tokens uncached) const {
+  const Tokens mine = uncached + kPrefillFixedTokens;
+  const Tokens ownQueue = engine.attempts.queuedPrefillTokens;
+  const std::optional<double>& reported = engine.process.load.report.requestsQueued;
+  if (loads_.isQueueCurrent(engine) && reported) {  // it says what all routers have there
+    const Tokens queue = *reported * (prompts_.meanUncached() + kPrefillFixedTokens);
+    return prefillTimePerToken(engine) * (std::max(ownQueue, queue) + mine);
+  }
+  const double weight = ownWeight(aggregates_.of(engine).queuedPrefillTokens);
+  const Tokens queue = ownQueue * (1 + (context_.settings().routerCount - 1) * weight);
+  const Duration wait = engine.process.performance.wait.get(context_.now(), prefillWaitPrior_, kLearning);
+  return prefillTimePerToken(engine) * (queue + mine) + (1 - weight) * wait;
+}
+
+Duration CostModel::firstTokenWait(const Engine& engine) const {
+  return engine.process.performance.wait.get(context_.now(), decodeWaitPrior_, kLearning);
+}
+
+Duration CostModel::transferTime(const Engine& from, LinkKind link, Tokens tokens) const {
+  const Duration prior = kTransferCostPrior[static_cast<int>(link)];
+  const auto it = transferCosts_.find({from.entry.cell, link});
+  const Duration perToken =
+      it == transferCosts_.end() ? prior : it->second.get(context_.now(), prior, kLinkLearning);
+  return perToken * tokens + kDistanceCost * static_cast<int>(link);
+}
+
+Duration CostModel::typicalDuration(const Request& request) const {
+  const DecayingMean<Duration>& typical =
+      request.stage == RequestStage::kDecoding ? typicalFirstToken_ : typicalPrefill_;
+  return typical.get(context_.now(), Duration(0), kLearning);
+}
+
+// A Poisson count with a gamma prior round the mean: the less of its own this router has at engines, the less
+// its part says, and the more counts what it has at the engine's peers.
+Tokens CostModel::acrossRouters(Tokens own, Tokens mean) const {
+  const double weight = ownWeight(mean);
+  return own + (context_.settings().routerCount - 1) * (weight * own + (1 - weight) * mean);
+}
+
+double CostModel::ownWeight(Tokens mean) const { return mean / (mean + prompts_.meanPrompt()); }
+
+void CostModel::recordPrefill(Engine& engine, const Request& request, Duration elapsed, Tokens cachedTokens) {
+  const Instant now = context_.now();
+  typicalPrefill_.add(elapsed, now, kLearning);
+  const Tokens prompt = request.arrival.promptTokens;
+  const Tokens uncached = prompt - boundedCachedTokens(cachedTokens, prompt);
+  prompts_.recordUncached(uncached);
+  if (engine.isPrefill()) {
+    recordWait(engine, elapsed - prefillTimePerToken(engine) * (uncached + kPrefillFixedTokens));
+  }
+  const Duration cost = elapsed / (uncached + kPrefillFixedTokens);
+  prefillCosts_.add(cost, now);
+  baseCost_ += (cost < baseCost_ ? kBaseCostStep : kBaseCostStep / kBaseCostOdds) * (cost - baseCost_);
+  engine.process.performance.prefillCost.add(cost, now, kLearning);
+}
+
+void CostModel::recordFirstToken(Engine& engine, const Request& request) {
+  const Duration elapsed = context_.now() - request.attemptStartedAt;
+  const Engine* const from = registry_.find(request.prefillEngine);
+  if (request.stage != RequestStage::kPrefilling && from != nullptr) {
+    const LinkKind link = linkBetween(*from, engine);
+    const Tokens tokens = request.arrival.promptTokens;
+    if (link == LinkKind::kSameCell) {
+      recordWait(engine, elapsed - transferTime(*from, link, tokens));
+    } else {
+      recordTransfer(*from, link, std::max(Duration(0), elapsed - firstTokenWait(engine)) / (tokens + 1));
+    }
+  }
+  typicalOf(request).add(elapsed, context_.now(), kLearning);
+}
+
+void CostModel::recordNoAnswer(const Request& request, Duration elapsed) {
+  typicalOf(request).add(elapsed, context_.now(), kLearning);
+}
+
+// A state that does not arrive over a link in time says something of the link, which all prefill engines of
+// the cell share. Learning only from states that arrived made full links look quick and blamed the decode
+// engines.
+bool CostModel::recordSlowTransfer(const Engine& decodeEngine, const Request& request, Duration elapsed) {
+  const Engine* const from = registry_.find(request.prefillEngine);
+  if (request.stage != RequestStage::kDecoding || from == nullptr) return false;
+  const LinkKind link = linkBetween(*from, decodeEngine);
+  if (link == LinkKind::kSameCell) return false;
+  recordTransfer(*from, link, elapsed / (request.arrival.promptTokens + 1));
+  return true;
+}
+
+void CostModel::recordWait(Engine& engine, Duration wait) {
+  const Duration positive = std::max(Duration(0), wait);
+  engine.process.performance.wait.add(positive, context_.now(), kLearning);
+  waitsOf(engine).add(positive, context_.now());
+}
+
+void CostModel::recordTransfer(const Engine& from, LinkKind link, Duration perToken) {
+  transferCosts_[{from.entry.cell, link}].add(perToken, context_.now(), kLinkLearning);
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/decode_selector.cpp
@@ -0,0 +1,103 @@
+#include "decode_selector.h"
+
+#include <algorithm>
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+namespace {
+
+// The part of the fleet that a link of this kind reaches from or to an engine.
+std::uint32_t reachOf(LinkKind link, const Engine& engine) {
+  switch (link) {
+    case LinkKind::kSameCell:
+      return engine.entry.cell;
+    case LinkKind::kSameZone:
+      return engine.entry.zone;
+    case LinkKind::kOtherZone:
+      break;
+  }
+  return 0;
+}
+
+Tokens memoryOf(const Engine& engine) {
+  return engine.entry.memoryTokens > 0 ? engine.entry.memoryTokens : kEngineMemoryPrior;
+}
+
+}  // namespace
+
+Engine* DecodeSelector::select(const Request& request, const Engine& from, HealthRule rule) {
+  CheapestEngine cheapest;
+  for (auto& [id, engine] : registry_.engines()) {
+    if (!engine.canDecode() || !eligibility_.isEligible(engine, request, rule)) continue;
+    const Duration transfer =
+        costs_.transferTime(from, linkBetween(from, engine), request.arrival.promptTokens);
+    cheapest.offer(request, engine, transfer + cost(engine, request));
+  }
+  return cheapest.engine();
+}
+
+LeastDecodeCosts DecodeSelector::leastCosts(const Request& request) const {
+  LeastDecodeCosts least = leastCosts(request, HealthRule::kHealthyOnly);
+  if (least.empty()) return leastCosts(request, HealthRule::kAny);
+  return least;
+}
+
+LeastDecodeCosts DecodeSelector::leastCosts(const Request& request, HealthRule rule) const {
+  LeastDecodeCosts least;
+  for (const auto& [id, engine] : registry_.engines()) {
+    if (!engine.canDecode() || !eligibility_.isEligible(engine, request, rule)) continue;
+    const Duration engineCost = cost(engine, request);
+    for (const LinkKind link : kLinkKinds) {
+      Duration& best = least.try_emplace({link, reachOf(link, engine)}, engineCost).first->second;
+      best = std::min(best, engineCost);
+    }
+  }
+  return least;
+}
+
+Duration DecodeSelector::costAfterPrefill(const Engine& from, const Request& request,
+                                          const LeastDecodeCosts& least) const {
+  Duration best = context_.shortestObjective();
+  for (const LinkKind link : kLinkKinds) {
+    const auto it = least.find({link, reachOf(link, from)});
+    if (it == least.end()) continue;
+    best = std::min(best, it->second + costs_.transferTime(from, link, request.arrival.promptTokens));
+  }
+  return best;
+}
+
+// Mixed engines fetch states only when no pure decode engine can.
+Duration DecodeSelector::cost(const Engine& engine, const Request& request) const {
+  const Duration ownQueue = engine.attempts.awaitingFirstToken * costs_.firstTokenWait(engine);
+  const Duration roleCost = engine.entry.role == Role::kMixed ? kLastResortCost : Duration(0);
+  return waitCost(engine, request) + ownQueue + roleCost;
+}
+
+// An engine with a queue, or one that this request would fill, or a slow one, gives way to the next.
+Duration DecodeSelector::waitCost(const Engine& engine, const Request& request) const {
+  const double utilization = memoryUtilization(engine) + request.memoryNeeded / memoryOf(engine);
+  const bool queues = loads_.freshReport(engine).requestsQueued.value_or(0) >= 1;
+  const Duration avoidance = kAvoidanceCostFactor * context_.shortestObjective();
+  Duration wait = costs_.firstTokenWait(engine) * (kLoadScoreOffset + engine.process.load.score) +
+                  health_.penalty(engine, request);
+  if (utilization > kMemoryNearlyFull || queues) wait += avoidance;
+  wait += avoidance * std::max(0.0, pace_.slowdown(engine) - kSlowPace);
+  return wait + kOverfillCost * std::max(0.0, utilization - kMemoryNearlyFull);
+}
+
+// Share of the engine's memory that is in use: as reported and with what was started since, else by this
+// router's own record.
+double DecodeSelector::memoryUtilization(const Engine& engine) const {
+  const LoadReport report = loads_.freshReport(engine);
+  const Tokens memory = memoryOf(engine);
+  const Tokens own = engine.attempts.decodeTokens;
+  const double estimate = costs_.acrossRouters(own, aggregates_.of(engine).decodeTokens) / memory;
+  const Tokens recent = engine.process.recentTokens.get(context_.now(), kReportLag);
+  // Half of what was started lately shows in the report on average.
+  const double sinceReport = std::min(estimate, recent * context_.settings().routerCount / 2 / memory);
+  const double utilization = report.memoryUtilization ? *report.memoryUtilization + sinceReport : estimate;
+  return std::max({utilization, own / memory, report.slotUtilization.value_or(0)});
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/engine_eligibility.h
@@ -0,0 +1,68 @@
+// Which engines a request may be sent to at all, and how equal candidates are told apart.
+#pragma once
+
+#include <algorithm>
+
+#include "engine_health.h"
+#include "hashing.h"
+#include "retry_safety.h"
+#include "slow_start.h"
+
+namespace gannetcourse::policy {
+
+enum class HealthRule {
+  kHealthyOnly,  ///< Engines that are not ejected and at which the request has not failed.
+  kAny           ///< Any engine in service, where no healthy one is left.
+};
+
+class EngineEligibility {
+ public:
+  EngineEligibility(const EngineHealth& health, const SlowStart& slowStart, const RetrySafety& retrySafety)
+      : health_(health), slowStart_(slowStart), retrySafety_(retrySafety) {}
+
+  /// Service, slow start and idempotency bind under either rule.
+  bool isEligible(const Engine& engine, const Request& request, HealthRule rule) const {
+    if (!engine.isServing() || !retrySafety_.isAllowedOn(engine, request)) return false;
+    if (!slowStart_.isWithinBudget(engine, request)) return false;
+    return rule == HealthRule::kAny ||
+           (health_.isHealthyFor(engine, request) && !hasFailedOn(engine, request));
+  }
+
+ private:
+  static bool hasFailedOn(const Engine& engine, const Request& request) {
+    const auto& failed = request.failedEngines;
+    return std::find(failed.begin(), failed.end(), engine.entry.id) != failed.end();
+  }
+
+  const EngineHealth& health_;
+  const SlowStart& slowStart_;
+  const RetrySafety& retrySafety_;
+};
+
+/// The cheapest of the engines that were offered to it. Among equals, a shared prefix leads all routers to
+/// the same prefill engine; decode engines go by session.
+class CheapestEngine {
+ public:
+  /// Whether the engine is now the cheapest.
+  bool offer(const Request& request, Engine& engine, Duration cost) {
+    if (cost > cost_) return false;
+    if (cost == cost_ && tieBreak(request, engine) >= tieBreak(request, *engine_)) return false;
+    engine_ = &engine;
+    cost_ = cost;
+    return true;
+  }
+  /// Null where none was offered.
+  Engine* engine() const { return engine_; }
+
+ private:
+  static std::uint64_t tieBreak(const Request& request, const Engine& engine) {
+    const RequestArrived& arrival = request.arrival;
+    const bool byPrefix = arrival.prefixKey != 0 && engine.isPrefill();
+    return hashCombine(byPrefix ? arrival.prefixKey : arrival.sessionKey, engine.entry.id.value);
+  }
+
+  Engine* engine_ = nullptr;
+  Duration cost_{1e18};
+};
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/engine_health.cpp
@@ -0,0 +1,145 @@
+#include "engine_health.h"
+
+#include <algorithm>
+#include <set>
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+namespace {
+
+// Steps of a failure score. One connection may be reset by itself; a process that has ended breaks several
+// and accepts no new ones.
+constexpr double kFailureSteps = 1;
+constexpr double kSilenceSteps = 2;
+constexpr double kResetSteps = 1;
+constexpr double kConnectFailedSteps = 2;
+constexpr double kCellSuspicionSteps = 1;
+
+constexpr double kNoScoreYet = 1e9;
+
+}  // namespace
+
+double EngineHealth::level(const DecayingSum& score) const {
+  return score.get(context_.now(), kFailureDecay);
+}
+
+void EngineHealth::increase(DecayingSum& score, double steps) {
+  score.set(std::min(kMaxFailureScore, level(score) + steps * kFailureStep), context_.now());
+}
+
+double EngineHealth::failureScore(const Engine& engine, const Request& request) const {
+  const HealthRecord& health = engine.process.health;
+  double least = kNoScoreYet;
+  for (const HealthKey& key : request.healthKeys) {
+    const auto it = health.failureScores.find(key);
+    least = std::min(least, it == health.failureScores.end() ? 0 : level(it->second));
+  }
+  return std::max({least, level(health.connectionFailures), level(health.cellSuspicion)});
+}
+
+bool EngineHealth::isHealthyFor(const Engine& engine, const Request& request) const {
+  const double score = failureScore(engine, request);
+  if (score >= kEjectionScore) return false;
+  return score < kEjectionScore / 2 || engine.attempts.unanswered() <= 0;
+}
+
+Duration EngineHealth::penalty(const Engine& engine, const Request& request) const {
+  const Duration late = std::max(Duration(0), engine.process.health.overdue);
+  return Duration(failureScore(engine, request)) + late;
+}
+
+void EngineHealth::recordFailure(Engine& engine, const Request& request, Outcome outcome) {
+  HealthRecord& health = engine.process.health;
+  if (outcome == Outcome::kConnectFailed || outcome == Outcome::kReset) {
+    suspectCellOf(engine);
+    increase(health.connectionFailures, outcome == Outcome::kReset ? kResetSteps : kConnectFailedSteps);
+    return;
+  }
+  const bool silent = outcome == Outcome::kTimeout;
+  // Where half of a role is silent already, a link or the load is the likelier cause.
+  if (silent && isHalfOfRoleEjected(engine.entry.role, request)) return;
+  for (const HealthKey& key : request.healthKeys) {
+    increase(health.failureScores[key], silent ? kSilenceSteps : kFailureSteps);
+  }
+}
+
+void EngineHealth::recordSuccess(Engine& engine, const Request& request) {
+  HealthRecord& health = engine.process.health;
+  health.lastAnswer = context_.now();
+  Instant& newest = health.newestAnsweredStart[request.arrival.classIndex];
+  newest = std::max(newest, request.attemptStartedAt);
+  for (const HealthKey& key : request.healthKeys) {
+    DecayingSum& score = health.failureScores[key];
+    score.set(kSuccessFactor * level(score), context_.now());
+  }
+  if (level(health.connectionFailures) >= kEjectionScore) slowStart_.onContactRegained(engine);
+  health.connectionFailures = {};
+  health.cellSuspicion = {};
+}
+
+// A probe that waits too long may only be queued; one that cannot connect is a sign of lost contact.
+void EngineHealth::recordProbeConnectFailure(Engine& engine) {
+  increase(engine.process.health.connectionFailures, kConnectFailedSteps);
+}
+
+void EngineHealth::recordOverdue(Engine& engine, Duration late) {
+  Duration& overdue = engine.process.health.overdue;
+  overdue = std::max(overdue, late);
+}
+
+void EngineHealth::clearOverdue() {
+  for (auto& [id, engine] : registry_.engines()) engine.process.health.overdue = Duration(0);
+}
+
+bool EngineHealth::isSilentTo(const Engine& engine, const Request& request) {
+  return engine.process.health.lastAnswer < request.attemptStartedAt;
+}
+
+bool EngineHealth::hasOvertaken(const Engine& engine, const Request& request) {
+  const auto& newest = engine.process.health.newestAnsweredStart;
+  const auto it = newest.find(request.arrival.classIndex);
+  return it != newest.end() && it->second > request.attemptStartedAt;
+}
+
+// Engines of a cell share power and switch: when contact is lost with a second of them, the others get one
+// request at a time until each has answered. Guards against learning of a lost rack one engine at a time.
+void EngineHealth::suspectCellOf(const Engine& lost) {
+  const auto isNeighbour = [&lost](const Engine& engine) {
+    return engine.entry.cell == lost.entry.cell && &engine != &lost;
+  };
+  const auto hasContact = [this](const Engine& engine) {
+    return level(engine.process.health.connectionFailures) < kEjectionScore;
+  };
+  const auto& engines = registry_.engines();
+  const bool isSecond = std::any_of(engines.begin(), engines.end(), [&](const auto& item) {
+    return isNeighbour(item.second) && !hasContact(item.second);
+  });
+  if (!isSecond) return;
+  std::set<Role> servedElsewhere;  // where a cell is all there is, avoiding it helps nobody
+  for (const auto& [id, engine] : engines) {
+    if (engine.entry.cell != lost.entry.cell && engine.isServing() && hasContact(engine)) {
+      servedElsewhere.insert(engine.entry.role);
+    }
+  }
+  for (auto& [id, engine] : registry_.engines()) {
+    HealthRecord& health = engine.process.health;
+    const bool quiet = health.lastAnswer < context_.now() - kCellSuspicionQuiet;
+    if (isNeighbour(engine) && quiet && servedElsewhere.count(engine.entry.role) > 0) {
+      increase(health.cellSuspicion, kCellSuspicionSteps);
+    }
+  }
+}
+
+bool EngineHealth::isHalfOfRoleEjected(Role role, const Request& request) const {
+  int ejected = 1;  // the engine concerned
+  int all = 0;
+  for (const auto& [id, engine] : registry_.engines()) {
+    if (engine.entry.role != role || !engine.isServing()) continue;
+    ++all;
+    if (failureScore(engine, request) >= kEjectionScore) ++ejected;
+  }
+  return 2 * ejected > all;
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/outcome_recorder.cpp
@@ -0,0 +1,46 @@
+#include "outcome_recorder.h"
+
+namespace gannetcourse::policy {
+
+void OutcomeRecorder::recordStreamStarted(const Request& request, Engine& engine) {
+  aggregates_.recordServed(engine, prompts_.weightOf(request));
+  health_.recordSuccess(engine, request);
+}
+
+void OutcomeRecorder::recordEnd(const Request& request, const AttemptEnded& end) {
+  Engine* const engine = registry_.find(end.engine);
+  if (engine == nullptr) return;
+  if (end.outcome == Outcome::kPrefilled) {
+    recordPrefillEnd(request, *engine, end);
+  } else if (end.outcome == Outcome::kOk) {
+    health_.recordSuccess(*engine, request);
+    if (request.stage == RequestStage::kStreaming) pace_.recordCompleted(*engine, request);
+  } else {
+    recordFailure(request, *engine, end);
+  }
+}
+
+void OutcomeRecorder::recordPrefillEnd(const Request& request, Engine& engine, const AttemptEnded& end) {
+  costs_.recordPrefill(engine, request, end.elapsed, end.cachedTokens);
+  aggregates_.recordServed(engine, prompts_.weightOf(request));
+  affinity_.recordPrefillEnded(engine, request.arrival);
+  health_.recordSuccess(engine, request);
+}
+
+void OutcomeRecorder::recordFailure(const Request& request, Engine& engine, const AttemptEnded& end) {
+  const bool silent = request.cancelRequested || end.outcome == Outcome::kTimeout;
+  if (silent) {
+    costs_.recordNoAnswer(request, end.elapsed);
+    if (costs_.recordSlowTransfer(engine, request, end.elapsed)) return;
+  }
+  if (request.cancelRequested) {
+    // An attempt that others have overtaken was lost on its way: no fault of the engine.
+    if (!request.overtaken) health_.recordFailure(engine, request, Outcome::kTimeout);
+    return;
+  }
+  const bool endedHere = end.outcome == Outcome::kCancelled || end.outcome == Outcome::kNotSent;
+  if (endedHere || end.outcome == Outcome::kStateLost) return;
+  health_.recordFailure(engine, request, end.outcome);
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/prefill_selector.cpp
@@ -0,0 +1,65 @@
+#include "prefill_selector.h"
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+PrefillPlan PrefillSelector::select(const Request& request) {
+  const PrefillPlan plan = select(request, HealthRule::kHealthyOnly);
+  return plan.engine != nullptr ? plan : select(request, HealthRule::kAny);
+}
+
+PrefillPlan PrefillSelector::select(const Request& request, HealthRule rule) {
+  const LeastDecodeCosts decodeCosts = decode_.leastCosts(request);
+  const Engine* const preferred = affinity_.preferredEngine(request.arrival);
+  CheapestEngine cheapest;
+  PrefillPlan best;
+  for (auto& [id, engine] : registry_.engines()) {
+    if (!canPrefill(engine) || !eligibility_.isEligible(engine, request, rule)) continue;
+    const PrefillPlan plan = planOn(engine, request, preferred, decodeCosts);
+    if (cheapest.offer(request, engine, costOf(plan, request))) best = plan;
+  }
+  return best;
+}
+
+PrefillPlan PrefillSelector::planOn(Engine& engine, const Request& request, const Engine* preferred,
+                                    const LeastDecodeCosts& decodeCosts) const {
+  PrefillPlan plan;
+  plan.engine = &engine;
+  plan.combinedPrefillAndDecode = !engine.isPrefill();
+  plan.cachedTokens = affinity_.cachedTokens(engine, request.arrival, preferred);
+  plan.prefillTime = costs_.prefillTime(engine, request.arrival.promptTokens - plan.cachedTokens);
+  plan.decodeTime = plan.combinedPrefillAndDecode ? decode_.waitCost(engine, request)
+                                                  : decode_.costAfterPrefill(engine, request, decodeCosts);
+  return plan;
+}
+
+// Mixed engines take a request in one attempt where that is sooner; decode engines that can prefill do so
+// only when nothing else is left. Tokens that are not cached count beyond their own time: they displace
+// cached text, which later requests pay for.
+Duration PrefillSelector::costOf(const PrefillPlan& plan, const Request& request) const {
+  const Engine& engine = *plan.engine;
+  const Tokens uncached = request.arrival.promptTokens - plan.cachedTokens;
+  const bool sameZone = engine.entry.zone == context_.settings().zone;
+  Duration cost = plan.prefillTime + kCacheMissWeight * costs_.prefillTimePerToken(engine) * uncached +
+                  kLoadScoreCost * engine.process.load.score + health_.penalty(engine, request) +
+                  (sameZone ? Duration(0) : kDistanceCost);
+  cost += plan.decodeTime;
+  if (engine.entry.role == Role::kDecode) cost += kLastResortCost;
+  return cost;
+}
+
+bool PrefillSelector::canPrefill(const Engine& engine) const {
+  switch (engine.entry.role) {
+    case Role::kPrefill:
+    case Role::kMixed:
+      return true;
+    case Role::kDecode:
+      return context_.settings().decodeCanPrefill;
+    case Role::kUnknown:
+      break;
+  }
+  return false;
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/prompt_statistics.h
@@ -0,0 +1,31 @@
+// The mean length of the prompts that this router sees.
+#pragma once
+
+#include <algorithm>
+
+#include "decision_context.h"
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+class PromptStatistics {
+ public:
+  explicit PromptStatistics(const DecisionContext& context) : context_(context) {}
+
+  void recordPrompt(Tokens prompt) { prompt_.add(prompt, context_.now(), kLearning); }
+  /// `uncached`: tokens of a prompt that its engine had to prefill.
+  void recordUncached(Tokens uncached) { uncached_.add(uncached, context_.now(), kLearning); }
+
+  Tokens meanPrompt() const { return prompt_.get(context_.now(), kPromptPrior, kLearning); }
+  Tokens meanUncached() const { return uncached_.get(context_.now(), kUncachedPromptPrior, kLearning); }
+  /// A request's work in mean requests; 1 at least.
+  double weightOf(const Request& request) const {
+    return std::max(1.0, request.arrival.promptTokens / std::max(1.0, meanPrompt()));
+  }
+
+ private:
+  const DecisionContext& context_;
+  DecayingMean<Tokens> prompt_, uncached_;
+};
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/retry_safety.cpp
@@ -0,0 +1,46 @@
+#include "retry_safety.h"
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+bool RetrySafety::isProvenNotRun(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kStateLost ||
+         outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
+}
+
+void RetrySafety::recordPossibleRun(Request& request, const EngineEntry& engine) {
+  if (request.mayHaveRun) return;
+  request.mayHaveRun = true;
+  request.firstRunAt = request.attemptStartedAt;
+  request.firstRunOn = engine;
+}
+
+// An attempt leaves once it is connected, and the machine may be held up before: that, too, has to be within
+// the window in which repeats are dropped. The scope binds prefill attempts as well.
+bool RetrySafety::isAllowedOn(const Engine& engine, const Request& request) const {
+  const ClassSettings& c = context_.classOf(request);
+  if (!request.mayHaveRun || c.idempotency == Idempotency::kIdempotent) return true;
+  if (c.idempotency == Idempotency::kAtMostOnce) return false;
+  const Instant leavesAt = context_.now() + context_.settings().connectTimeout + kSendDelayAllowance;
+  if (leavesAt > request.firstRunAt + c.dedupWindow) return false;
+  if (c.dedupScope == DedupScope::kZone) return engine.entry.zone == request.firstRunOn.zone;
+  return c.dedupScope == DedupScope::kAll || engine.entry.cell == request.firstRunOn.cell;
+}
+
+bool RetrySafety::canRetryAfterAttempt(const Request& request) const {
+  const Idempotency idempotency = context_.classOf(request).idempotency;
+  if (request.attemptHasEffect() && idempotency == Idempotency::kAtMostOnce) return false;
+  const int attemptsNeeded = request.stage == RequestStage::kPrefilling ? 2 : 1;  // prefill and decode
+  return request.attemptCount + attemptsNeeded <= context_.settings().maxAttempts;
+}
+
+// An attempt in flight proves nothing, a prefill neither: only how it ends says what has run.
+bool RetrySafety::canReject(const Request& request) const {
+  const ClassSettings& c = context_.classOf(request);
+  if (!request.mayHaveRun && !request.attemptInFlight) return true;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
+  return c.idempotency == Idempotency::kIdempotencyKey && c.dedupScope == DedupScope::kAll;
+}
+
+}  // namespace gannetcourse::policy
--- /dev/null
+++ b/src/policy/stream_pace.cpp
@@ -0,0 +1,42 @@
+#include "stream_pace.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "tuning.h"
+
+namespace gannetcourse::policy {
+
+double StreamPace::relativeLength(const Engine& engine) const {
+  const PerformanceRecord& record = engine.process.performance;
+  return (record.streamedLengths.get(context_.now(), kPaceWindow) + kPacePrior) /
+         (record.completedStreams.get(context_.now(), kPaceWindow) + kPacePrior);
+}
+
+void StreamPace::update() {
+  std::vector<double> lengths;
+  for (const auto& [id, engine] : registry_.engines()) {
+    if (engine.canDecode() && engine.isServing()) lengths.push_back(relativeLength(engine));
+  }
+  if (!lengths.empty()) median_ = std::max(1.0, medianOf(std::move(lengths)));
+}
+
+void StreamPace::recordStreaming(Engine& engine, const Request& request) {
+  const Duration typical = typicalLengths_[request.arrival.classIndex];
+  if (typical <= Duration(0)) return;
+  engine.process.performance.streamedLengths.add(kHousekeepingPeriod / typical, context_.now(), kPaceWindow);
+}
+
+// The typical length follows the median, so that a few slow engines do not become typical.
+void StreamPace::recordCompleted(Engine& engine, const Request& request) {
+  Duration& typical = typicalLengths_[request.arrival.classIndex];
+  const Duration length = context_.now() - request.streamStartedAt;
+  if (typical <= Duration(0)) {
+    typical = length;
+  } else {
+    typical = typical * (1 + (length < typical ? -kPaceStep : kPaceStep));
+  }
+  engine.process.performance.completedStreams.add(1, context_.now(), kPaceWindow);
+}
+
+}  // namespace gannetcourse::policy
--- a/src/policy/tuning.h
+++ b/src/policy/tuning.h
@@ -1,72 +1,183 @@
-// The tuned values of the decision module, all of them. Times in seconds.
+// The tuned values of the decision module, all of them, grouped by the module that uses them.
 #pragma once
 
 #include <cstddef>
 
-namespace gannetcourse {
-
-constexpr double kSweep = 0.02;           // period of the housekeeping timer
-constexpr double kScoreWindow = 2;        // smoothing of the load score's indicators
-constexpr double kReportFresh = 5;        // a load report older than this says nothing
-constexpr double kForget = 8;             // learned figures fade towards their peers' over this
-constexpr double kMemory = 5;             // samples that a learned figure averages over
-constexpr double kPriorWeight = 0.5;      // samples that the peers' figure counts for
-constexpr double kReadPrior = 1e-4;       // reading, a token
-constexpr double kBaseStep = 0.1;         // how far one read moves the cost of those that do not wait
-constexpr double kReadFloorTokens = 300;  // a read's fixed cost, as tokens
-constexpr double kOutlier = 1.7;          // a reader this much slower than its peers counts as slow
-constexpr double kSeen = 4;               // how long a sample tells of all servers of its role
-constexpr double kScoreTime = 0.1;        // what a reader's load score of 1 weighs
-constexpr double kMissWeight = 1;         // what reading a token anew costs those who come after
-constexpr double kWaitPrior = 0.05;       // a writer's wait before the first token
-constexpr double kLinkPrior[] = {5e-6, 2e-5, 4e-5};  // a state's move, a token: cell, zone, beyond
-constexpr double kLinkForget = 30;        // how long what a link takes counts: the layout of racks stays
-constexpr double kFarBias = 0.02;         // prices of leaving the cell or the zone, as time
-constexpr double kKeepFor = 60;           // ageing of the prefix table
-constexpr std::size_t kMostKept = 50000;  // its entries before old ones are dropped
-constexpr double kHomeKeeps = 0.75;       // share of a prompt taken to be kept at its session's home
-constexpr double kNearHome = 3;           // odds that a home lies in our zone, a server
-constexpr double kPopular = 60;           // how long a request counts for the popularity of its shared text
-constexpr double kPopularPrior = 4;       // requests for other texts that are taken as seen
-constexpr double kHomesSpread = 1.5;  // homes of a shared text against its part of the requests, in readers
-constexpr double kMemoryPrior = 2e5;  // tokens, of a server that does not tell its memory
-constexpr double kHoldShare = 0.6;    // of the time that a state may stay held that it waits for a writer
-constexpr double kLastResort = 100;   // cost of having a pure writer read
-constexpr int kMostHeldTried = 16;    // requests that may stay before a pass over our queue ends
-constexpr double kNearlyFull = 1.0;   // a writer's memory share from which it yields
-constexpr double kYieldShare = 0.3;   // cost of a writer that should yield, of the shortest aim
-constexpr double kPaceMemory = 10;    // seconds of streams that a writer's pace is judged by
-constexpr double kPacePrior = 4;      // streams of the usual length that are taken as seen
-constexpr double kPaceStep = 0.05;    // how far one answer moves what is usual for its class
-constexpr double kSlowPace = 3;       // a writer whose streams last this much longer than usual is slow
-constexpr double kLetIn = 0.5;        // of its aim that a first token may be expected to take to be let in
-constexpr double kLongRead = 3;       // usual reads beyond which what a prompt reads is no queue
-constexpr double kNoQueue = 0.25;     // mean prompts that all nodes have at a reader below which none queues
-constexpr double kOverShareRoom = 0.4;  // ... and of that, for those beyond their tenant's share
-constexpr double kShareSpan = 4;        // seconds of its share that a tenant may ask for at once
-constexpr double kShareChance = 3;      // ... and deviations of chance round that
-constexpr double kRecent = 1.5;         // how long a send is taken not to show in the reports yet
-constexpr double kTimeoutFactor = 3;    // a time-out against the time expected of the work
-constexpr double kSilentShare = 0.5;    // ... and, at least, against the request's aim
-constexpr double kTryShare = 0.6;      // of the time left that one attempt may take while others could follow
-constexpr double kEjectAt = 0.5;       // illness from which a server is passed over
-constexpr double kFailureStep = 0.34;  // what a failure adds to it; silence and lost contact add twice that
-constexpr double kMostIll = 1.4;       // the most that it can be
-constexpr double kSuspectAfter = 0.3;  // a server that answered since is not suspected with its cell
-constexpr double kHealing = 0.6;       // share of it that a success leaves
-constexpr double kColdUnknown = 2;     // requests a window, of all nodes, that a cold server bears surely
-constexpr double kColdMemory = 60;     // how long the most that servers took is remembered
-constexpr int kMostLooks = 2;          // readers that a request may ask for their queue
-constexpr double kLookFrom = 0.2;      // requests told in readers' queues from which it is worth asking
-constexpr double kLookTime = 0.01;     // how long it waits for the answer
-constexpr double kFreshPrior = 1000;   // tokens of a prompt that must be read
-constexpr double kProbeOften = 0.4;    // a server is probed no more often than this
-constexpr double kProbeBudget = 0.004;   // result that asking writers may cost, and readers that tell queues
-constexpr double kMostProbes = 4;        // probes that may be saved up
-constexpr double kHoldUp = 0.15;         // between a decision and its write a machine may be held up for this
-constexpr double kStartToldWithin = 12;  // a start told as a change that is older than this is not believed
-constexpr char kDiscoveryRetryTimer[] = "ask";
-constexpr char kHousekeepingTimer[] = "sweep";
-constexpr double kAskAgain = 0.7;  // pause after a failed discovery call
-
-}  // namespace gannetcourse
+#include "decaying_statistics.h"
+#include "gannetcourse/policy.h"
+#include "units.h"
+
+namespace gannetcourse::policy {
+
+// ---- Timers ----
+/// Period of the housekeeping timer.
+inline constexpr Duration kHousekeepingPeriod{0.02};
+/// Mean pause before the engine list is subscribed to again after a failure; half to one and a half times it.
+inline constexpr Duration kEngineListRetryPause{0.7};
+inline constexpr char kEngineListRetryTimer[] = "ask";
+inline constexpr char kHousekeepingTimer[] = "sweep";
+
+// ---- Learned figures ----
+/// Time over which learned figures return to their prior.
+inline constexpr Duration kLearningDecay{8};
+inline constexpr LearningRate kLearning{kLearningDecay, 5, 0.5};
+/// Transfer costs are remembered for longer: the layout of racks stays.
+inline constexpr LearningRate kLinkLearning{Duration(30), 5, 0.5};
+/// How long a sample of one engine counts for all engines of its role.
+inline constexpr Duration kPeerSampleAge{4};
+/// Smoothing of the averages over a role's engines.
+inline constexpr Duration kRoleAverageWindow = kLearningDecay;
+/// Mean prompt before any request was seen.
+inline constexpr Tokens kPromptPrior = 1000;
+/// Mean of a prompt's tokens that no prefix cache has, before any prefill was seen.
+inline constexpr Tokens kUncachedPromptPrior = 1000;
+
+// ---- Load reports and load score ----
+/// Smoothing of the load score.
+inline constexpr Duration kLoadScoreWindow{2};
+/// A load report older than this is not used.
+inline constexpr Duration kReportMaxAge{5};
+/// How long an attempt is taken not to show in the reports yet, and how long a reported queue is current.
+inline constexpr Duration kReportLag{1.5};
+/// Bounds on reported figures: requests at one engine, ...
+inline constexpr double kMaxReportedRequests = 1e4;
+/// ... share of slots or memory, a little over 1 where work was accepted beyond them, ...
+inline constexpr double kMaxReportedUtilization = 2;
+/// ... and prompt tokens that wait at one engine.
+inline constexpr Tokens kMaxReportedTokens = 1e8;
+
+// ---- Cost model ----
+/// Prefill time of a token before any prefill was seen.
+inline constexpr Duration kPrefillCostPrior{1e-4};
+/// Share by which one prefill moves the cost of prefills that do not queue.
+inline constexpr double kBaseCostStep = 0.1;
+/// Odds between a step up and a step down of that cost: it follows the quickest tenth.
+inline constexpr double kBaseCostOdds = 9;
+/// Fixed cost of a prefill, as tokens.
+inline constexpr Tokens kPrefillFixedTokens = 300;
+/// An engine is slow from this multiple of the prefill cost of its peers.
+inline constexpr double kSlowPrefillFactor = 1.7;
+/// Wait for a first token at a decode engine before any was seen.
+inline constexpr Duration kFirstTokenWaitPrior{0.05};
+/// Transfer time of a token of state: inside the cell, inside the zone, beyond it.
+inline constexpr Duration kTransferCostPrior[] = {Duration(5e-6), Duration(2e-5), Duration(4e-5)};
+/// Cost of leaving the cell, and again of leaving the zone.
+inline constexpr Duration kDistanceCost{0.02};
+
+// ---- Prefix affinity ----
+/// Time over which cached prefixes are taken to be displaced.
+inline constexpr Duration kCachedPrefixDecay{60};
+/// Entries of a prefix table before old ones are dropped.
+inline constexpr std::size_t kMaxPrefixEntries = 50000;
+/// Share of a prompt taken to be cached at its preferred engine.
+inline constexpr double kPreferredEngineCachedFraction = 0.75;
+/// Odds of an engine of this router's zone to be preferred, against one elsewhere.
+inline constexpr double kOwnZoneOdds = 3;
+/// How long a request counts for the popularity of its shared prefix.
+inline constexpr Duration kPopularityDecay{60};
+/// Requests with other prefixes that are taken as seen.
+inline constexpr double kPopularityPrior = 4;
+/// An entry with less than this many requests left is dropped.
+inline constexpr double kMinPopularity = 0.5;
+/// Preferred engines of a shared prefix, against its share of the requests times the prefill engines.
+inline constexpr double kPreferredEngineSpread = 1.5;
+
+// ---- Selection of engines ----
+/// Cost of a prefill engine's load score of 1.
+inline constexpr Duration kLoadScoreCost{0.1};
+/// Weight of the prefill of tokens that are not cached, for the cached text that it displaces.
+inline constexpr double kCacheMissWeight = 1;
+/// Cost of using an engine for what is not its main work.
+inline constexpr Duration kLastResortCost{100};
+/// Memory of an engine that is listed without it.
+inline constexpr Tokens kEngineMemoryPrior = 2e5;
+/// Share of its memory from which a decode engine is avoided.
+inline constexpr double kMemoryNearlyFull = 1.0;
+/// Cost of a decode engine that is to be avoided, as a share of the shortest objective.
+inline constexpr double kAvoidanceCostFactor = 0.3;
+/// Cost of one memory's worth of tokens beyond that share.
+inline constexpr Duration kOverfillCost{3};
+/// Added to a decode engine's load score before it scales the expected wait.
+inline constexpr double kLoadScoreOffset = 0.5;
+
+// ---- Stream pace ----
+/// Time over which a decode engine's pace is judged.
+inline constexpr Duration kPaceWindow{10};
+/// Streams of typical length that are taken as seen.
+inline constexpr double kPacePrior = 4;
+/// Share by which one stream moves the typical length of its class.
+inline constexpr double kPaceStep = 0.05;
+/// A decode engine is slow from this multiple of the median pace.
+inline constexpr double kSlowPace = 3;
+
+// ---- Admission ----
+/// A request is admitted while its first token is expected within this share of its headroom.
+inline constexpr double kAdmissionFactor = 0.5;
+/// A prompt is long from this multiple of the mean of uncached tokens.
+inline constexpr double kLongPromptFactor = 3;
+/// Mean prompts in flight of all routers at one engine below which nothing queues there.
+inline constexpr double kNoQueuePrompts = 0.25;
+/// Share of the headroom that is left for traffic over its tenant's quota.
+inline constexpr double kOverQuotaHeadroom = 0.4;
+/// Time's worth of its quota that a tenant may use at once ...
+inline constexpr Duration kQuotaBurst{4};
+/// ... and standard deviations of chance on top of that.
+inline constexpr double kQuotaDeviations = 3;
+/// Requests that may stay in the queue before a pass over it ends.
+inline constexpr int kMaxQueuedTried = 16;
+
+// ---- Attempts ----
+/// Timeout of an attempt against its expected duration.
+inline constexpr double kTimeoutFactor = 3;
+/// ... and at least this share of the request's time to first token objective.
+inline constexpr double kTimeoutObjectiveFactor = 0.5;
+/// Share of the remaining time that one attempt may take while another could follow.
+inline constexpr double kRetryTimeFactor = 0.6;
+/// Failed decode attempts after which a state is released and the prompt prefilled anew.
+inline constexpr int kMaxDecodeFailures = 3;
+/// A state is released at this share of the lease limit.
+inline constexpr double kStateLeaseFactor = 0.6;
+/// Time that a machine may be held up between a decision and its write.
+inline constexpr Duration kSendDelayAllowance{0.15};
+/// Added to the margin before a deadline for timers that fire late.
+inline constexpr Duration kDeadlineMargin{0.002};
+/// Expected output tokens are the requested maximum divided by this.
+inline constexpr double kMaxToExpectedOutput = 3;
+
+// ---- Engine health ----
+/// Decay time of failure scores.
+inline constexpr Duration kFailureDecay = kLearningDecay;
+/// Failure score from which an engine is ejected.
+inline constexpr double kEjectionScore = 0.5;
+/// What a failure adds to it; silence and lost contact add twice that.
+inline constexpr double kFailureStep = 0.34;
+inline constexpr double kMaxFailureScore = 1.4;
+/// An engine that answered within this time is not suspected along with its cell.
+inline constexpr Duration kCellSuspicionQuiet{0.3};
+/// Share of a failure score that a success leaves.
+inline constexpr double kSuccessFactor = 0.6;
+
+// ---- Slow start ----
+/// Requests a window, of all routers together, that a warming engine bears in any case.
+inline constexpr double kUnknownCapacityRequests = 2;
+/// How long the peak rate of a role is remembered.
+inline constexpr Duration kPeakRateDecay{60};
+/// A start that is reported as a change later than this is not believed.
+inline constexpr Duration kMaxStartAge{12};
+
+// ---- Probing ----
+/// Prefill engines that one request may have probed for their queue.
+inline constexpr int kMaxQueueProbes = 2;
+/// Mean reported queue, in requests, from which such a probe is sent.
+inline constexpr double kMinReportedQueue = 0.2;
+/// How long a request waits for its answer.
+inline constexpr Duration kQueueProbeWait{0.01};
+/// Least time between two probes of one engine.
+inline constexpr Duration kProbeInterval{0.4};
+/// Share of the result that probes of decode engines may cost; the same for prefill engines that report
+/// queues.
+inline constexpr double kProbeBudget = 0.004;
+/// Probes that may be saved up.
+inline constexpr double kMaxSavedProbes = 4;
+
+}  // namespace gannetcourse::policy
