--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,6 +1,8 @@
 // A bench-free host for one Policy: feeds events, keeps the actions of the last step and of all steps.
 #pragma once
 
+#include <gtest/gtest.h>
+
 #include <string>
 #include <vector>
 
@@ -40,9 +42,9 @@
   return e;
 }
 
-class Host {
+class PolicyHost {
  public:
-  explicit Host(const Settings& settings) : policy(settings) {}
+  explicit PolicyHost(const Settings& settings) : policy(settings) {}
 
   std::vector<Action>& feed(double at, const Event& event) {
     now = at;
@@ -52,8 +54,8 @@
     return last;
   }
 
-  std::vector<Action>& list(double at, std::vector<EngineEntry> entries,
-                            EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot) {
+  std::vector<Action>& engineList(double at, std::vector<EngineEntry> entries,
+                                  EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot) {
     return feed(at, EngineListUpdate{scope, std::move(entries)});
   }
 
@@ -66,8 +68,8 @@
     return feed(at, r);
   }
 
-  std::vector<Action>& ended(double at, const std::string& id, std::uint32_t serverId, Outcome outcome,
-                             bool over = false, double kept = 0) {
+  std::vector<Action>& attemptEnded(double at, const std::string& id, std::uint32_t serverId, Outcome outcome,
+                                    bool over = false, double kept = 0) {
     AttemptEnded e;
     e.id = {id};
     e.engine = {serverId};
@@ -78,17 +80,17 @@
     return feed(at, e);
   }
 
-  std::vector<Action>& streams(double at, const std::string& id, std::uint32_t serverId) {
+  std::vector<Action>& streamStarted(double at, const std::string& id, std::uint32_t serverId) {
     return feed(at, StreamStarted{{id}, 0, {serverId}, Duration(0.03)});
   }
 
-  std::vector<Action>& tick(double at) { return feed(at, TimerFired{"sweep"}); }
+  std::vector<Action>& doHousekeeping(double at) { return feed(at, TimerFired{"sweep"}); }
 
   // Fires the housekeeping timer every 20 ms up to `until`; gives all actions of that time.
-  std::vector<Action> run(double until) {
+  std::vector<Action> runUntil(double until) {
     std::vector<Action> seen;
     while (now + 0.02 <= until) {
-      tick(now + 0.02);
+      doHousekeeping(now + 0.02);
       seen.insert(seen.end(), last.begin(), last.end());
     }
     return seen;
@@ -114,4 +116,43 @@
   return sends.size() == 1 ? sends[0].engine.value : 0;
 }
 
+inline RequestArrived requestOf(const std::string& id, double prompt, std::uint64_t session,
+                                std::uint64_t prefix = 0, double shared = 0) {
+  RequestArrived r;
+  r.id = {id};
+  r.timeUntilDeadline = Duration(4);
+  r.promptTokens = prompt;
+  r.sessionKey = session;
+  r.prefixKey = prefix;
+  r.prefixTokens = shared;
+  r.maxOutputTokens = 300;
+  return r;
+}
+
+/// A request of a session, with time for several attempts.
+inline RequestArrived requestOfSession(const std::string& id, std::uint64_t session) {
+  RequestArrived r;
+  r.id = {id};
+  r.timeUntilDeadline = Duration(6);
+  r.sessionKey = session;
+  r.promptTokens = 1000;
+  return r;
+}
+
+/// Serves a request to its end on the engines that the policy selects; gives the prefill engine.
+inline std::uint32_t serveToEnd(PolicyHost& host, double at, const RequestArrived& r, double kept = 0) {
+  const std::uint32_t prefillEngine = sentTo(host.feed(at, r));
+  const std::uint32_t decodeEngine =
+      sentTo(host.attemptEnded(at + 0.05, r.id.value, prefillEngine, Outcome::kPrefilled, false, kept));
+  EXPECT_NE(decodeEngine, 0U);
+  host.streamStarted(at + 0.08, r.id.value, decodeEngine);
+  host.attemptEnded(at + 0.5, r.id.value, decodeEngine, Outcome::kOk, true);
+  return prefillEngine;
+}
+
+/// Final responses that the policy itself gives.
+inline std::size_t finalResponses(const std::vector<Action>& actions) {
+  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+}
+
 }  // namespace gannetcourse::test
--- /dev/null
+++ b/tests/load_score_test.cpp
@@ -0,0 +1,50 @@
+// What engines report of their load, and of what they found cached.
+#include <gtest/gtest.h>
+
+#include <map>
+
+#include "harness.h"
+
+namespace gannetcourse::test {
+namespace {
+
+// Engines that corrupt their responses may report any number that can be parsed. The requests after them are
+// admitted and spread as if none had.
+TEST(LoadReports, AbsurdFiguresNeitherExcludeAnEngineNorSpoilTheOthersEstimates) {
+  const auto spread = [](bool absurdKept, bool absurdLoad) {
+    Settings settings = twoStageSettings();
+    settings.loadReportSource = LoadReportSource::kResponses;
+    PolicyHost host(settings);
+    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+    const auto serve = [&](double at, const std::string& id, double kept, double figure) {
+      const std::uint32_t prefillEngine = sentTo(host.request(at, id));
+      if (prefillEngine == 0) return prefillEngine;
+      AttemptEnded read{{id},  0,    {prefillEngine}, Outcome::kPrefilled,
+                        false, kept, Duration(0.05),  LoadReport{}};
+      read.load->memoryUtilization = read.load->slotUtilization = read.load->requestsQueued = figure;
+      host.feed(at + 0.05, read);
+      host.streamStarted(at + 0.06, id, 3);
+      host.attemptEnded(at + 0.07, id, 3, Outcome::kOk, true);
+      host.doHousekeeping(at + 0.08);
+      return prefillEngine;
+    };
+    for (int i = 0; i < 20; ++i) serve(1.1 + i * 0.1, "before" + std::to_string(i), 100, 0.2);
+    serve(4, "absurd", absurdKept ? 1e300 : 100, absurdLoad ? 1e300 : 0.2);
+    serve(4.1, "negative", absurdKept ? -1e300 : 100, 0.2);
+    serve(4.2, "no cost", absurdKept ? 1300 : 100, 0.2);  // as many as the prompt's and a read's fixed cost
+    host.runUntil(12);
+    std::map<std::uint32_t, int> prefillEngines;
+    for (int i = 0; i < 40; ++i)
+      ++prefillEngines[serve(host.now + 0.1, "after" + std::to_string(i), 100, 0.2)];
+    return prefillEngines;
+  };
+  std::map<std::uint32_t, int> usual = spread(false, false), load = spread(false, true);
+  EXPECT_EQ(usual[0], 0);
+  EXPECT_EQ(spread(true, false)[0], 0) << "all are let in";
+  EXPECT_EQ(load[0], 0) << "all are let in";
+  for (const std::uint32_t prefillEngine : {1U, 2U})
+    EXPECT_EQ(load[prefillEngine] > 0, usual[prefillEngine] > 0) << prefillEngine;
+}
+
+}  // namespace
+}  // namespace gannetcourse::test
