--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -26,17 +26,17 @@
 gannetcourse_component(http2 SOURCES src/http2/session.cpp LINK gannetcourse_net PkgConfig::NGHTTP2)
 gannetcourse_component(grpc SOURCES src/grpc/protocol.cpp src/grpc/server.cpp src/grpc/channel.cpp
                   LINK gannetcourse_http2)
-gannetcourse_component(config SOURCES src/config/xml.cpp src/config/settings.cpp src/config/in_service.cpp
+gannetcourse_component(config SOURCES src/config/xml.cpp src/config/settings.cpp src/config/reload.cpp
                   LINK gannetcourse_net LibXml2::LibXml2)
 gannetcourse_component(resume SOURCES src/resume/seal.cpp LINK gannetcourse_config OpenSSL::Crypto)
 gannetcourse_schema(gannetcourse_config ${PROJECT_SOURCE_DIR}/src/config/settings.xsd gannetcourse::config
                     settingsSchema)
-gannetcourse_component(discovery SOURCES src/discovery/engine_list.cpp src/discovery/registry.cpp
+gannetcourse_component(discovery SOURCES src/discovery/engine_list.cpp src/discovery/registry_watch.cpp
                   LINK gannetcourse_grpc gannetcourse_config gannetcourse_proto)
 gannetcourse_schema(gannetcourse_discovery ${PROJECT_SOURCE_DIR}/src/discovery/fleet.xsd gannetcourse::discovery
                     fleetSchema)
-gannetcourse_component(engines SOURCES src/engines/fleet.cpp LINK gannetcourse_router gannetcourse_discovery)
-gannetcourse_component(frontend SOURCES src/frontend/chat.cpp src/frontend/health.cpp
+gannetcourse_component(engines SOURCES src/engines/grpc_engine_transport.cpp LINK gannetcourse_router gannetcourse_discovery)
+gannetcourse_component(frontend SOURCES src/frontend/chat_service.cpp src/frontend/health_service.cpp
                   LINK gannetcourse_router gannetcourse_grpc gannetcourse_resume gannetcourse_proto
                        PkgConfig::XXHASH)
 gannetcourse_component(driver SOURCES src/node/core_driver.cpp LINK gannetcourse_router gannetcourse_net)
@@ -49,8 +49,8 @@
 gannetcourse_component(platform SOURCES src/platform/configuration.cpp src/platform/discovery.cpp src/platform/events.cpp
                                    src/platform/engines.cpp src/platform/releases.cpp src/platform/front.cpp src/platform/node.cpp
                   LINK gannetcourse_driver gannetcourse_http1 gannetcourse_instance)
-gannetcourse_component(daemon SOURCES src/daemon/log.cpp src/daemon/serve.cpp src/daemon/signals.cpp
-                                 src/daemon/platform.cpp
+gannetcourse_component(daemon SOURCES src/daemon/log.cpp src/daemon/node_command.cpp src/daemon/signal_watcher.cpp
+                                 src/daemon/platform_command.cpp
                   LINK gannetcourse_node gannetcourse_platform spdlog::spdlog nlohmann_json::nlohmann_json)
 gannetcourse_program(gannetcourse SOURCES src/daemon/main.cpp LINK gannetcourse_daemon CLI11::CLI11)
 target_compile_definitions(gannetcourse PRIVATE GANNETCOURSE_VERSION="${PROJECT_VERSION}")
--- a/lab/day.cpp
+++ b/lab/day.cpp
@@ -150,7 +150,7 @@
     spec.warmAfter = day.warmAfter;
   }
   if (const auto troubles = root.child("troubles")) readTroubles(*troubles, day, faults);
-  if (!faults.empty()) throw config::Faults(std::move(faults));
+  if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return day;
 }
 
@@ -175,16 +175,18 @@
 }
 
 std::string Day::nodeSettings(std::uint32_t number, const std::string& registry) const {
-  const auto time = [](double seconds) { return config::quoted(config::formatDuration(Duration(seconds))); };
+  const auto time = [](double seconds) {
+    return config::quotedAttribute(config::formatDuration(Duration(seconds)));
+  };
   std::string text = "<gannetcourse xmlns=\"urn:gannetcourse:settings:1\">\n";
   text += "  <node name=\"node-" + std::to_string(number) +
-          "\" zone=" + config::quoted(zones[number % zones.size()]) + " nodes=\"" + std::to_string(nodes) +
-          "\" seed=\"" + std::to_string(seed * 1000 + number + 1) + "\"/>\n";
+          "\" zone=" + config::quotedAttribute(zones[number % zones.size()]) + " nodes=\"" +
+          std::to_string(nodes) + "\" seed=\"" + std::to_string(seed * 1000 + number + 1) + "\"/>\n";
   text += "  <listen grpc=\"127.0.0.1:0\"/>\n  <zones>\n";
-  for (const std::string& zone : zones) text += "    <zone name=" + config::quoted(zone) + "/>\n";
+  for (const std::string& zone : zones) text += "    <zone name=" + config::quotedAttribute(zone) + "/>\n";
   text += "  </zones>\n  <classes>\n";
   for (const DayClass& c : classes) {
-    text += "    <class name=" + config::quoted(c.name) + " aim=" + time(c.aim) +
+    text += "    <class name=" + config::quotedAttribute(c.name) + " aim=" + time(c.aim) +
             " token-aim=" + time(c.tokenAim) + " first-token-within=" + time(c.firstTokenWithin) +
             " worth=\"" + plain(c.worth) + "\" effect=\"" + c.effect + "\" group=\"" + c.group + "\"";
     if (c.dedupWindow > 0) text += " dedup-window=" + time(c.dedupWindow);
@@ -194,7 +196,7 @@
   if (!tenants.empty()) {
     text += "  <tenants over-share-worth=\"" + plain(overShareWorth) + "\">\n";
     for (const DayTenant& t : tenants) {
-      text += "    <tenant name=" + config::quoted(t.name) + " share=\"" + plain(t.share) +
+      text += "    <tenant name=" + config::quotedAttribute(t.name) + " share=\"" + plain(t.share) +
               "\" quota-per-second=\"" + plain(t.share * rate * 1.3) + "\"/>\n";
     }
     text += "  </tenants>\n";
@@ -207,7 +209,8 @@
   text += "  <engines reports=\"" + reports + "\"/>\n";
   text += std::string("  <recovery enabled=\"") + (recovery ? "true" : "false") +
           "\" silence-at-least=" + time(silence) + "/>\n";
-  text += "  <fleet registry=" + config::quoted(registry) + "/>\n  <log level=\"debug\"/>\n</gannetcourse>\n";
+  text += "  <fleet registry=" + config::quotedAttribute(registry) +
+          "/>\n  <log level=\"debug\"/>\n</gannetcourse>\n";
   return text;
 }
 
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -105,8 +105,8 @@
       return 0;
     }
     return playDay(file, options);
-  } catch (const config::Faults& faults) {
-    for (const config::Fault& fault : faults.list()) std::cerr << fault.text() << '\n';
+  } catch (const config::InvalidFile& faults) {
+    for (const config::Fault& fault : faults.faults()) std::cerr << fault.text() << '\n';
   } catch (const std::exception& fault) {
     std::cerr << "gannetcourse-lab: " << fault.what() << '\n';
   }
--- a/src/config/in_service.cpp
+++ b/src/config/reload.cpp
@@ -1,4 +1,4 @@
-#include "config/in_service.h"
+#include "config/reload.h"
 
 #include <algorithm>
 #include <utility>
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-NodeSettings carriedOver(const NodeSettings& running, NodeSettings fresh) {
+NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh) {
   carryClasses(running, fresh);
   carryTenants(running, fresh);
   std::vector<std::string> zones = running.zones;
@@ -64,14 +64,14 @@
   return fresh;
 }
 
-std::optional<std::size_t> classInService(const NodeSettings& settings, std::string_view name) {
+std::optional<std::size_t> findClassInService(const NodeSettings& settings, std::string_view name) {
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     if (settings.policy.classes[i].inService && settings.classes[i].name == name) return i;
   }
   return std::nullopt;
 }
 
-std::optional<std::size_t> tenantInService(const NodeSettings& settings, std::string_view name) {
+std::optional<std::size_t> findTenantInService(const NodeSettings& settings, std::string_view name) {
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
     if (settings.policy.tenants[i].inService && settings.tenants[i] == name) return i;
   }
--- a/src/config/in_service.h
+++ b/src/config/reload.h
@@ -13,10 +13,10 @@
 // place of `running` keeps that place; what is new or differs comes after them; what `fresh` no longer has
 // stays out of service. So the way back, a reload of the old file, finds the old places. Each reload that
 // changes a class adds a place until the next start.
-NodeSettings carriedOver(const NodeSettings& running, NodeSettings fresh);
+NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh);
 
 // The place of a class or tenant that requests may name; absent: it is not in service.
-std::optional<std::size_t> classInService(const NodeSettings& settings, std::string_view name);
-std::optional<std::size_t> tenantInService(const NodeSettings& settings, std::string_view name);
+std::optional<std::size_t> findClassInService(const NodeSettings& settings, std::string_view name);
+std::optional<std::size_t> findTenantInService(const NodeSettings& settings, std::string_view name);
 
 }  // namespace gannetcourse::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "config/in_service.h"
+#include "config/reload.h"
 #include "net/connection.h"
 
 namespace gannetcourse::config {
@@ -23,7 +23,7 @@
     readRecovery();
     readFleetAndLog();
     checkRules();
-    if (!faults_.empty()) throw Faults(std::move(faults_));
+    if (!faults_.empty()) throw InvalidFile(std::move(faults_));
     return std::move(s_);
   }
 
@@ -43,16 +43,17 @@
     s_.policy.zone = static_cast<std::uint32_t>(at - s_.zones.begin());
     s_.policy.routerCount = static_cast<int>(node.count("nodes", 1));
     s_.policy.seed = node.count("seed", 0);
-    s_.listen = listen.text("grpc");
-    if (!net::parseEndpoint(s_.listen))
-      fault(listen, "grpc '" + s_.listen + "' is no address", "write a.b.c.d:port");
+    s_.listenAddress = listen.text("grpc");
+    if (!net::parseEndpoint(s_.listenAddress))
+      fault(listen, "grpc '" + s_.listenAddress + "' is no address", "write a.b.c.d:port");
     s_.maxConnections = static_cast<std::uint32_t>(listen.count("max-connections", s_.maxConnections));
-    s_.maxStreams = static_cast<std::uint32_t>(listen.count("max-streams", s_.maxStreams));
-    s_.maxMessage = listen.bytes("max-message", s_.maxMessage);
-    s_.maxMetadata = listen.bytes("max-metadata", s_.maxMetadata);
-    s_.streamBuffer = listen.bytes("stream-buffer", s_.streamBuffer);
-    if (s_.maxMessage < 1024) fault(listen, "max-message is under 1KiB", "raise it");
-    if (s_.maxMetadata < 512) fault(listen, "max-metadata is under 512 bytes", "raise it");
+    s_.maxStreamsPerConnection =
+        static_cast<std::uint32_t>(listen.count("max-streams", s_.maxStreamsPerConnection));
+    s_.maxMessageBytes = listen.bytes("max-message", s_.maxMessageBytes);
+    s_.maxMetadataBytes = listen.bytes("max-metadata", s_.maxMetadataBytes);
+    s_.streamBufferBytes = listen.bytes("stream-buffer", s_.streamBufferBytes);
+    if (s_.maxMessageBytes < 1024) fault(listen, "max-message is under 1KiB", "raise it");
+    if (s_.maxMetadataBytes < 512) fault(listen, "max-metadata is under 512 bytes", "raise it");
   }
 
   void readClasses() {
@@ -74,7 +75,7 @@
       c.dedupWindow = e.duration("dedup-window", Duration(0));
       ClassLimits limits;
       limits.name = e.text("name");
-      limits.firstTokenWithin = e.duration("first-token-within", Duration(0));
+      limits.firstTokenTimeout = e.duration("first-token-within", Duration(0));
       limits.maxPromptTokens =
           static_cast<std::uint32_t>(e.count("max-prompt-tokens", limits.maxPromptTokens));
       limits.maxOutputTokens =
@@ -122,9 +123,9 @@
     p.weightByTokens = limits.text("worth-by", "request") == "work";
     p.clientsHonorRetryAfter = true;
     p.cancelAllowed = true;
-    s_.answerMargin = limits.duration("answer-margin", s_.answerMargin);
+    s_.responseMargin = limits.duration("answer-margin", s_.responseMargin);
     s_.drainGrace = limits.duration("drain-grace", s_.drainGrace);
-    s_.longestDeadline = limits.duration("longest-deadline", s_.longestDeadline);
+    s_.maxDeadline = limits.duration("longest-deadline", s_.maxDeadline);
     p.responseGrace = Duration(0);
     p.tick = Duration(0.005);  // how late a loop that is busy runs its timers
   }
@@ -149,8 +150,9 @@
     s_.policy.decodeCanPrefill = engines.flag("decode-may-prefill", false);
     s_.connectTimeout = engines.duration("connect-timeout", s_.connectTimeout);
     s_.policy.connectTimeout = s_.connectTimeout;
-    s_.engineConnections = static_cast<std::uint32_t>(engines.count("connections", s_.engineConnections));
-    s_.keepalive = engines.duration("keepalive", s_.keepalive);
+    s_.maxConnectionsPerEngine =
+        static_cast<std::uint32_t>(engines.count("connections", s_.maxConnectionsPerEngine));
+    s_.keepaliveInterval = engines.duration("keepalive", s_.keepaliveInterval);
     s_.keepaliveTimeout = engines.duration("keepalive-timeout", s_.keepaliveTimeout);
     if (reports == "probes" && !s_.policy.probesAllowed)
       fault(engines, "reports=\"probes\" needs probes=\"true\"", "allow probes or choose other reports");
@@ -186,18 +188,18 @@
   }
 
   void readFleetAndLog() {
-    if (const auto resume = root_.child("resume")) s_.resumeKeys = resume->text("key-file");
+    if (const auto resume = root_.child("resume")) s_.resumeKeyFile = resume->text("key-file");
     const Element fleet = *root_.child("fleet");
-    s_.registry = fleet.text("registry");
-    s_.fleetFile = fleet.text("file");
-    s_.savedFleet = fleet.text("saved");
-    if (s_.registry.empty() == s_.fleetFile.empty())
+    s_.registryAddress = fleet.text("registry");
+    s_.engineListFile = fleet.text("file");
+    s_.engineListCacheFile = fleet.text("saved");
+    if (s_.registryAddress.empty() == s_.engineListFile.empty())
       fault(fleet, "the fleet needs one source", "give either registry or file");
     const auto log = root_.child("log");
     if (!log) return;
     s_.logLevel = log->text("level", s_.logLevel);
     s_.logFile = log->text("file");
-    for (const Element& e : log->children()) s_.packageLevels[e.text("name")] = e.text("level");
+    for (const Element& e : log->children()) s_.packageLogLevels[e.text("name")] = e.text("level");
   }
 
   // What would let a node break a rule is refused here, whatever the module would make of it.
@@ -207,15 +209,15 @@
     const Element engines = root_.child("engines").value_or(root_);
     const Settings& p = s_.policy;
     const Duration least(0.02);  // the module looks round this often
-    if (s_.answerMargin < least || s_.answerMargin > Duration(5))
+    if (s_.responseMargin < least || s_.responseMargin > Duration(5))
       fault(limits,
-            "rule 1 (one answer in time): answer-margin " + formatDuration(s_.answerMargin) +
+            "rule 1 (one answer in time): answer-margin " + formatDuration(s_.responseMargin) +
                 " is not in 20ms..5s",
             "choose what covers the network and a busy loop, such as 60ms");
     const auto elements = root_.child("classes")->children();
     for (std::size_t i = 0; i < s_.classes.size(); ++i) {
-      const Duration within = s_.classes[i].firstTokenWithin;
-      if (within.count() > 0 && within <= s_.answerMargin + 4 * least)
+      const Duration within = s_.classes[i].firstTokenTimeout;
+      if (within.count() > 0 && within <= s_.responseMargin + 4 * least)
         fault(elements[i],
               "rule 1 (one answer in time): first-token-within of '" + s_.classes[i].name +
                   "' leaves nothing after answer-margin",
@@ -299,13 +301,13 @@
 
 std::string listenText(const NodeSettings& s) {
   return "max-connections " + std::to_string(s.maxConnections) + ", max-streams " +
-         std::to_string(s.maxStreams) + ", max-message " + std::to_string(s.maxMessage) + ", max-metadata " +
-         std::to_string(s.maxMetadata);
+         std::to_string(s.maxStreamsPerConnection) + ", max-message " + std::to_string(s.maxMessageBytes) +
+         ", max-metadata " + std::to_string(s.maxMetadataBytes);
 }
 
 std::string connectionText(const NodeSettings& s) {
-  return "connections " + std::to_string(s.engineConnections) + ", keepalive " + formatDuration(s.keepalive) +
-         ", keepalive-timeout " + formatDuration(s.keepaliveTimeout);
+  return "connections " + std::to_string(s.maxConnectionsPerEngine) + ", keepalive " +
+         formatDuration(s.keepaliveInterval) + ", keepalive-timeout " + formatDuration(s.keepaliveTimeout);
 }
 
 struct Line {
@@ -318,17 +320,17 @@
   static const std::vector<Line> kLines = {
       {"node name", [](const NodeSettings& s) { return s.name; }, true},
       {"node zone", [](const NodeSettings& s) { return s.zone; }, true},
-      {"listen grpc", [](const NodeSettings& s) { return s.listen; }, true},
-      {"fleet registry", [](const NodeSettings& s) { return s.registry; }, true},
-      {"fleet saved", [](const NodeSettings& s) { return s.savedFleet; }, true},
+      {"listen grpc", [](const NodeSettings& s) { return s.listenAddress; }, true},
+      {"fleet registry", [](const NodeSettings& s) { return s.registryAddress; }, true},
+      {"fleet saved", [](const NodeSettings& s) { return s.engineListCacheFile; }, true},
       {"log file", [](const NodeSettings& s) { return s.logFile; }, true},
-      {"fleet file", [](const NodeSettings& s) { return s.fleetFile; }, false},
+      {"fleet file", [](const NodeSettings& s) { return s.engineListFile; }, false},
       {"recovery", [](const NodeSettings& s) { return recoveryText(s.recovery); }, true},
-      {"resume key-file", [](const NodeSettings& s) { return s.resumeKeys; }, false},
+      {"resume key-file", [](const NodeSettings& s) { return s.resumeKeyFile; }, false},
       {"log level", [](const NodeSettings& s) { return s.logLevel; }, false},
-      {"listen stream-buffer", [](const NodeSettings& s) { return std::to_string(s.streamBuffer); }, false},
-      {"limits longest-deadline", [](const NodeSettings& s) { return formatDuration(s.longestDeadline); },
+      {"listen stream-buffer", [](const NodeSettings& s) { return std::to_string(s.streamBufferBytes); },
        false},
+      {"limits longest-deadline", [](const NodeSettings& s) { return formatDuration(s.maxDeadline); }, false},
       {"node nodes", [](const NodeSettings& s) { return std::to_string(s.policy.routerCount); }, false},
       {"zones",
        [](const NodeSettings& s) {
@@ -374,7 +376,7 @@
       {"engines connections and keepalive", connectionText, true},
       {"cold-start", [](const NodeSettings& s) { return coldText(s.policy); }, false},
       {"engines", [](const NodeSettings& s) { return engineText(s.policy); }, false},
-      {"limits answer-margin", [](const NodeSettings& s) { return formatDuration(s.answerMargin); }, true},
+      {"limits answer-margin", [](const NodeSettings& s) { return formatDuration(s.responseMargin); }, true},
       {"engines connect-timeout", [](const NodeSettings& s) { return formatDuration(s.connectTimeout); },
        true},
   };
@@ -393,14 +395,14 @@
   return Reader(document.root()).read();
 }
 
-std::vector<std::string> differences(const NodeSettings& before, const NodeSettings& after) {
+std::vector<std::string> describeDifferences(const NodeSettings& before, const NodeSettings& after) {
   std::vector<std::string> found;
   for (const Line& line : lines()) {
     const std::string was = line.value(before), is = line.value(after);
     if (was != is) found.push_back(std::string(line.name) + ": " + was + " -> " + is);
   }
   for (std::size_t i = 0; i < after.classes.size(); ++i) {
-    const auto at = classInService(before, after.classes[i].name);
+    const auto at = findClassInService(before, after.classes[i].name);
     if (!at || !after.policy.classes[i].inService) continue;
     const ClassLimits &was = before.classes[*at], &is = after.classes[i];
     const std::string name = "class " + is.name;
@@ -410,14 +412,14 @@
     if (was.maxOutputTokens != is.maxOutputTokens)
       found.push_back(name + " max-output-tokens: " + std::to_string(was.maxOutputTokens) + " -> " +
                       std::to_string(is.maxOutputTokens));
-    if (was.firstTokenWithin != is.firstTokenWithin)
-      found.push_back(name + " first-token-within: " + formatDuration(was.firstTokenWithin) + " -> " +
-                      formatDuration(is.firstTokenWithin));
+    if (was.firstTokenTimeout != is.firstTokenTimeout)
+      found.push_back(name + " first-token-within: " + formatDuration(was.firstTokenTimeout) + " -> " +
+                      formatDuration(is.firstTokenTimeout));
   }
   return found;
 }
 
-std::string fixedDifference(const NodeSettings& before, const NodeSettings& after) {
+std::string firstRestartOnlyDifference(const NodeSettings& before, const NodeSettings& after) {
   for (const Line& line : lines()) {
     if (line.fixed && line.value(before) != line.value(after)) return line.name;
   }
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -100,7 +100,7 @@
   if (document != nullptr) return document;
   if (faults.empty()) faults.push_back({name, 0, "cannot be read", "check the path and its rights"});
   faults.resize(1);
-  if (faults.front().what.find("failed to load") != std::string::npos)
+  if (faults.front().reason.find("failed to load") != std::string::npos)
     faults.front() = {name, 0, "cannot be read", "check the path and its rights"};
   return nullptr;
 }
@@ -108,10 +108,10 @@
 }  // namespace
 
 std::string Fault::text() const {
-  return file + ":" + std::to_string(line) + ": " + what + (mend.empty() ? "" : "; " + mend);
+  return file + ":" + std::to_string(line) + ": " + reason + (remedy.empty() ? "" : "; " + remedy);
 }
 
-Faults::Faults(std::vector<Fault> faults)
+InvalidFile::InvalidFile(std::vector<Fault> faults)
     : std::runtime_error(faults.empty() ? "unusable file" : faults.front().text()),
       faults_(std::move(faults)) {}
 
@@ -192,13 +192,13 @@
 }
 
 // ---- Document ----
-void Document::Free::operator()(_xmlDoc* document) const { xmlFreeDoc(document); }
+void Document::DocumentDeleter::operator()(_xmlDoc* document) const { xmlFreeDoc(document); }
 
 Document Document::load(const std::string& path, std::string_view schema) {
   std::vector<Fault> faults;
   xmlDoc* const document =
       readWith(path, faults, [&] { return xmlReadFile(path.c_str(), nullptr, kParseOptions); });
-  return check(path, document, std::move(faults), schema);
+  return validate(path, document, std::move(faults), schema);
 }
 
 Document Document::parse(std::string_view text, const std::string& name, std::string_view schema) {
@@ -206,13 +206,13 @@
   xmlDoc* const document = readWith(name, faults, [&] {
     return xmlReadMemory(text.data(), static_cast<int>(text.size()), name.c_str(), nullptr, kParseOptions);
   });
-  return check(name, document, std::move(faults), schema);
+  return validate(name, document, std::move(faults), schema);
 }
 
-Document Document::check(std::string name, _xmlDoc* document, std::vector<Fault> faults,
-                         std::string_view schema) {
+Document Document::validate(std::string name, _xmlDoc* document, std::vector<Fault> faults,
+                            std::string_view schema) {
   Document checked(std::move(name), document);
-  if (document == nullptr) throw Faults(std::move(faults));
+  if (document == nullptr) throw InvalidFile(std::move(faults));
   xmlSchemaParserCtxt* const parser =
       xmlSchemaNewMemParserCtxt(schema.data(), static_cast<int>(schema.size()));
   xmlSchema* const rules = xmlSchemaParse(parser);
@@ -224,13 +224,13 @@
   const int result = xmlSchemaValidateDoc(validator, document);
   xmlSchemaFreeValidCtxt(validator);
   xmlSchemaFree(rules);
-  if (result != 0 || !faults.empty()) throw Faults(std::move(faults));
+  if (result != 0 || !faults.empty()) throw InvalidFile(std::move(faults));
   return checked;
 }
 
 Element Document::root() const { return {name_.get(), xmlDocGetRootElement(document_.get())}; }
 
-std::string quoted(std::string_view text) {
+std::string quotedAttribute(std::string_view text) {
   std::string out = "\"";
   for (const char c : text) {
     switch (c) {
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -20,15 +20,15 @@
 struct Fault {
   std::string file;
   int line = 0;
-  std::string what, mend;
+  std::string reason, remedy;
   std::string text() const;
 };
 
 // A file that cannot be used; holds at least one fault.
-class Faults : public std::runtime_error {
+class InvalidFile : public std::runtime_error {
  public:
-  explicit Faults(std::vector<Fault> faults);
-  const std::vector<Fault>& list() const { return faults_; }
+  explicit InvalidFile(std::vector<Fault> faults);
+  const std::vector<Fault>& faults() const { return faults_; }
 
  private:
   std::vector<Fault> faults_;
@@ -78,19 +78,19 @@
   Element root() const;
 
  private:
-  struct Free {
+  struct DocumentDeleter {
     void operator()(_xmlDoc* document) const;
   };
   Document(std::string name, _xmlDoc* document)
       : name_(std::make_unique<std::string>(std::move(name))), document_(document) {}
-  static Document check(std::string name, _xmlDoc* document, std::vector<Fault> faults,
-                        std::string_view schema);
+  static Document validate(std::string name, _xmlDoc* document, std::vector<Fault> faults,
+                           std::string_view schema);
 
   std::unique_ptr<std::string> name_;
-  std::unique_ptr<_xmlDoc, Free> document_;
+  std::unique_ptr<_xmlDoc, DocumentDeleter> document_;
 };
 
 // Text as the value of an attribute, quotes included.
-std::string quoted(std::string_view text);
+std::string quotedAttribute(std::string_view text);
 
 }  // namespace gannetcourse::config
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -52,7 +52,7 @@
     for (const auto& [package, name] : packages) packages_[package] = spdlog::level::from_str(name);
   }
 
-  bool wanted(const std::string& package, spdlog::level::level_enum level) const {
+  bool isEnabled(const std::string& package, spdlog::level::level_enum level) const {
     const auto it = packages_.find(package);
     return level >= (it == packages_.end() ? level_ : it->second);
   }
@@ -72,7 +72,7 @@
 Log::Log(const std::string& file, std::size_t queue) : impl_(std::make_unique<Impl>(file, queue)) {}
 Log::~Log() = default;
 
-void Log::endWithin(Duration most) {
+void Log::close(Duration most) {
   std::promise<void> written;
   const std::future<void> done = written.get_future();
   std::thread writer([impl = std::move(impl_), &written]() mutable {
@@ -91,7 +91,7 @@
 void Log::write(const std::string& package, const std::string& level, const std::string& text) {
   if (!impl_) return;  // it has ended
   const auto value = spdlog::level::from_str(level);
-  if (impl_->wanted(package, value)) impl_->write(value, {{"package", package}, {"text", text}});
+  if (impl_->isEnabled(package, value)) impl_->write(value, {{"package", package}, {"text", text}});
 }
 
 void Log::write(const router::Record& record) {
@@ -99,7 +99,7 @@
   const auto level = record.action == std::string("violation") ? spdlog::level::err
                      : endsRequest(record.action)              ? spdlog::level::info
                                                                : spdlog::level::debug;
-  if (!impl_->wanted("router", level)) return;
+  if (!impl_->isEnabled("router", level)) return;
   nlohmann::ordered_json fields = {{"package", "router"}, {"action", record.action}};
   fields["at"] = record.at.time_since_epoch().count();
   if (!record.request.empty()) fields["request"] = record.request;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -2,8 +2,8 @@
 #include <csignal>
 #include <iostream>
 
-#include "daemon/serve.h"
-#include "daemon/signals.h"
+#include "daemon/commands.h"
+#include "daemon/signal_watcher.h"
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
@@ -28,6 +28,7 @@
   }
   // From here on a signal waits for the node that it is meant for.
   if (serve->parsed() || platform->parsed()) gannetcourse::daemon::blockSignals();
-  if (platform->parsed()) return gannetcourse::daemon::platformNode(records);
-  return check->parsed() ? gannetcourse::daemon::check(settings) : gannetcourse::daemon::serve(settings);
+  if (platform->parsed()) return gannetcourse::daemon::runPlatformNode(records);
+  return check->parsed() ? gannetcourse::daemon::checkSettings(settings)
+                         : gannetcourse::daemon::runNode(settings);
 }
--- a/src/daemon/platform.cpp
+++ b/src/daemon/platform_command.cpp
@@ -8,9 +8,9 @@
 #include <system_error>
 #include <utility>
 
+#include "daemon/commands.h"
 #include "daemon/log.h"
-#include "daemon/serve.h"
-#include "daemon/signals.h"
+#include "daemon/signal_watcher.h"
 #include "net/retry.h"
 #include "platform/node.h"
 
@@ -96,7 +96,7 @@
 
 }  // namespace
 
-int platformNode(bool records) {
+int runPlatformNode(bool records) {
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, kTrimAbove);
   try {
@@ -113,7 +113,7 @@
     std::function<void(int)> onSignal = [&](int number) { stopped = stopped || number != SIGHUP; };
     const auto signals =
         net::retryOn<std::system_error>(kResourcesWithin, [&] {  // blocked before any thread starts
-          return std::make_unique<Signals>(loop, [&](int number) { onSignal(number); });
+          return std::make_unique<SignalWatcher>(loop, [&](int number) { onSignal(number); });
         });
     Log log("", kLogQueue);
     log.setLevels(records ? "debug" : "info", {});
@@ -134,7 +134,7 @@
       loop.run();
       log.write("daemon", "info", "drained: " + node->account());
     }
-    log.endWithin(kLogWithin);
+    log.close(kLogWithin);
     return 0;
   } catch (const std::exception& fault) {
     std::cerr << "gannetcourse: " << fault.what() << '\n';
--- a/src/daemon/signals.cpp
+++ b/src/daemon/signal_watcher.cpp
@@ -1,4 +1,4 @@
-#include "daemon/signals.h"
+#include "daemon/signal_watcher.h"
 
 #include <sys/signalfd.h>
 #include <unistd.h>
@@ -26,7 +26,8 @@
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
 
-Signals::Signals(net::Loop& loop, std::function<void(int)> tell) : loop_(loop), tell_(std::move(tell)) {
+SignalWatcher::SignalWatcher(net::Loop& loop, std::function<void(int)> tell)
+    : loop_(loop), onSignal_(std::move(tell)) {
   blockSignals();
   const sigset_t set = handledSignals();
   fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
@@ -34,14 +35,14 @@
   loop_.watch(fd_, this);
 }
 
-Signals::~Signals() {
+SignalWatcher::~SignalWatcher() {
   loop_.unwatch(fd_);
   close(fd_);
 }
 
-void Signals::onReady(const net::Ready&) {
+void SignalWatcher::onReady(const net::Ready&) {
   signalfd_siginfo info{};
-  while (read(fd_, &info, sizeof info) == sizeof info) tell_(static_cast<int>(info.ssi_signo));
+  while (read(fd_, &info, sizeof info) == sizeof info) onSignal_(static_cast<int>(info.ssi_signo));
 }
 
 }  // namespace gannetcourse::daemon
--- a/src/daemon/signals.h
+++ b/src/daemon/signal_watcher.h
@@ -12,16 +12,16 @@
 void blockSignals();
 
 // To be made before any other thread starts: threads inherit that these signals are blocked.
-class Signals final : private net::Watcher {
+class SignalWatcher final : private net::Watcher {
  public:
-  Signals(net::Loop& loop, std::function<void(int)> tell);  // throws std::system_error
-  ~Signals() override;
+  SignalWatcher(net::Loop& loop, std::function<void(int)> tell);  // throws std::system_error
+  ~SignalWatcher() override;
 
  private:
   void onReady(const net::Ready& ready) override;
 
   net::Loop& loop_;
-  std::function<void(int)> tell_;
+  std::function<void(int)> onSignal_;
   int fd_ = -1;
 };
 
--- a/src/discovery/engine_list.cpp
+++ b/src/discovery/engine_list.cpp
@@ -25,7 +25,7 @@
   return name == "prefill" ? Role::kPrefill : name == "decode" ? Role::kDecode : Role::kMixed;
 }
 
-Engine readEngine(const config::Element& e, const Translator& translator,
+Engine readEngine(const config::Element& e, const EntryResolver& translator,
                   std::vector<config::Fault>& faults) {
   Engine engine;
   engine.entry.id = {static_cast<std::uint32_t>(e.count("id", 0))};
@@ -36,7 +36,7 @@
       e.text("state", "serving") == "serving" ? EngineEntry::State::kServing : EngineEntry::State::kDraining;
   engine.zone = e.text("zone");
   engine.startedUnixMs = static_cast<std::int64_t>(e.number("started-unix-ms", 0));
-  engine.leavesUnixMs = static_cast<std::int64_t>(e.number("leaves-unix-ms", 0));
+  engine.shutdownUnixMs = static_cast<std::int64_t>(e.number("leaves-unix-ms", 0));
   const auto address = net::parseEndpoint(e.text("address"));
   if (!address || address->port == 0) {
     faults.push_back(
@@ -44,32 +44,32 @@
   } else {
     engine.address = *address;
   }
-  translator.complete(engine);
+  translator.resolve(engine);
   return engine;
 }
 
 }  // namespace
 
-EngineListUpdate EngineList::forPolicy() const {
+EngineListUpdate EngineList::toPolicyUpdate() const {
   EngineListUpdate list{scope, {}};
   for (const Engine& engine : engines) list.entries.push_back(engine.entry);
   return list;
 }
 
-Translator::Translator(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow)
+EntryResolver::EntryResolver(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow)
     : zones_(std::move(zones)), clock_(now, unixMsNow) {}
 
-std::uint32_t Translator::zone(const std::string& name) const {
+std::uint32_t EntryResolver::zoneNumber(const std::string& name) const {
   return static_cast<std::uint32_t>(std::find(zones_.begin(), zones_.end(), name) - zones_.begin());
 }
 
-void Translator::complete(Engine& engine) const {
-  engine.entry.zone = zone(engine.zone);
-  engine.entry.startedAt = instant(engine.startedUnixMs);
-  engine.leavesAt = instant(engine.leavesUnixMs);
+void EntryResolver::resolve(Engine& engine) const {
+  engine.entry.zone = zoneNumber(engine.zone);
+  engine.entry.startedAt = toInstant(engine.startedUnixMs);
+  engine.shutdownAt = toInstant(engine.shutdownUnixMs);
 }
 
-EngineList loadFleetFile(const std::string& path, const Translator& translator) {
+EngineList loadEngineListFile(const std::string& path, const EntryResolver& translator) {
   const config::Document document = config::Document::load(path, fleetSchema());
   EngineList list;
   list.version = document.root().count("version", 0);
@@ -81,27 +81,27 @@
     if (!seen.insert(id).second)
       faults.push_back(e.fault("engine " + std::to_string(id.value) + " is there twice", "remove one"));
   }
-  if (!faults.empty()) throw config::Faults(std::move(faults));
+  if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return list;
 }
 
-std::string formatFleet(const EngineList& list) {
+std::string formatEngineList(const EngineList& list) {
   std::string text =
       "<fleet xmlns=\"urn:gannetcourse:fleet:1\" version=\"" + std::to_string(list.version) + "\">\n";
   for (const Engine& e : list.engines) {
     if (e.entry.state == EngineEntry::State::kRemoved) continue;
     text += "  <engine id=\"" + std::to_string(e.entry.id.value) +
-            "\" address=" + config::quoted(e.address.text()) + " role=\"" + nameOf(e.entry.role) +
-            "\" zone=" + config::quoted(e.zone) + " cell=\"" + std::to_string(e.entry.cell) +
+            "\" address=" + config::quotedAttribute(e.address.text()) + " role=\"" + nameOf(e.entry.role) +
+            "\" zone=" + config::quotedAttribute(e.zone) + " cell=\"" + std::to_string(e.entry.cell) +
             "\" memory-tokens=\"" + std::to_string(static_cast<std::uint64_t>(e.entry.memoryTokens)) +
             "\" state=\"" + (e.entry.state == EngineEntry::State::kServing ? "serving" : "draining") +
             "\" started-unix-ms=\"" + std::to_string(e.startedUnixMs) + "\" leaves-unix-ms=\"" +
-            std::to_string(e.leavesUnixMs) + "\"/>\n";
+            std::to_string(e.shutdownUnixMs) + "\"/>\n";
   }
   return text + "</fleet>\n";
 }
 
-void Merged::apply(const EngineList& list) {
+void EngineListState::apply(const EngineList& list) {
   if (list.scope == EngineListUpdate::Scope::kFetchFailed) return;
   if (list.scope != EngineListUpdate::Scope::kDelta) engines_.clear();
   for (const Engine& engine : list.engines) {
@@ -120,7 +120,7 @@
 }
 
 // ---- Saved list ----
-class SavedList::Writer {
+class EngineListCache::Writer {
  public:
   explicit Writer(std::string path) : path_(std::move(path)), thread_([this] { run(); }) {}
   ~Writer() {
@@ -186,13 +186,13 @@
   std::thread thread_;  // last: it uses all of the above
 };
 
-SavedList::SavedList(std::string path) {
+EngineListCache::EngineListCache(std::string path) {
   if (!path.empty()) writer_ = std::make_unique<Writer>(std::move(path));
 }
-SavedList::~SavedList() = default;
-void SavedList::save(std::string text) {
+EngineListCache::~EngineListCache() = default;
+void EngineListCache::save(std::string text) {
   if (writer_) writer_->save(std::move(text));
 }
-std::uint64_t SavedList::failures() const { return writer_ ? writer_->failures() : 0; }
+std::uint64_t EngineListCache::failures() const { return writer_ ? writer_->failures() : 0; }
 
 }  // namespace gannetcourse::discovery
--- a/src/discovery/engine_list.h
+++ b/src/discovery/engine_list.h
@@ -18,26 +18,28 @@
   EngineEntry entry;
   net::Endpoint address;
   std::string zone;
-  std::int64_t startedUnixMs = 0;  // 0 = long ago
-  std::int64_t leavesUnixMs = 0;   // 0 = not known, or not at all
-  std::optional<Instant> leavesAt;
+  std::int64_t startedUnixMs = 0;   // 0 = long ago
+  std::int64_t shutdownUnixMs = 0;  // 0 = not known, or not at all
+  std::optional<Instant> shutdownAt;
 };
 
 struct EngineList {
   EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot;
   std::uint64_t version = 0;
   std::vector<Engine> engines;
-  EngineListUpdate forPolicy() const;
+  EngineListUpdate toPolicyUpdate() const;
 };
 
 // Turns names and wall-clock times into the module's numbers, always alike within one process.
-class Translator {
+class EntryResolver {
  public:
-  Translator(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow);
-  void take(std::vector<std::string> zones) { zones_ = std::move(zones); }  // those of before at their places
-  std::uint32_t zone(const std::string& name) const;  // an unknown zone is apart from all others
-  std::optional<Instant> instant(std::int64_t unixMs) const { return clock_.instant(unixMs); }  // 0 = none
-  void complete(Engine& engine) const;  // fills in what the names and times stand for
+  EntryResolver(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow);
+  void setZones(std::vector<std::string> zones) {
+    zones_ = std::move(zones);
+  }                                                         // those of before at their places
+  std::uint32_t zoneNumber(const std::string& name) const;  // an unknown zone is apart from all others
+  std::optional<Instant> toInstant(std::int64_t unixMs) const { return clock_.instant(unixMs); }  // 0 = none
+  void resolve(Engine& engine) const;  // fills in what the names and times stand for
 
  private:
   std::vector<std::string> zones_;
@@ -45,12 +47,12 @@
 };
 
 // A fleet file: <fleet xmlns="urn:gannetcourse:fleet:1"> of <engine .../>. Throws config::Faults.
-EngineList loadFleetFile(const std::string& path, const Translator& translator);
-std::string formatFleet(const EngineList& list);
+EngineList loadEngineListFile(const std::string& path, const EntryResolver& translator);
+std::string formatEngineList(const EngineList& list);
 std::string_view fleetSchema();
 
 // Keeps the whole list out of full lists and changes.
-class Merged {
+class EngineListState {
  public:
   void apply(const EngineList& list);
   const std::vector<Engine>& engines() const { return engines_; }
@@ -60,12 +62,12 @@
 };
 
 // Writes the newest of the texts it is given to a file, by a thread of its own: a slow disk delays nobody.
-class SavedList {
+class EngineListCache {
  public:
-  explicit SavedList(std::string path);  // empty: writes nothing
-  ~SavedList();                          // writes what is due
-  SavedList(const SavedList&) = delete;
-  SavedList& operator=(const SavedList&) = delete;
+  explicit EngineListCache(std::string path);  // empty: writes nothing
+  ~EngineListCache();                          // writes what is due
+  EngineListCache(const EngineListCache&) = delete;
+  EngineListCache& operator=(const EngineListCache&) = delete;
   void save(std::string text);
   std::uint64_t failures() const;
 
--- a/src/discovery/registry.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -1,4 +1,4 @@
-#include "discovery/registry.h"
+#include "discovery/registry_watch.h"
 
 #include "gannetcourse/v1/registry.pb.h"
 
@@ -32,10 +32,11 @@
 }  // namespace
 
 RegistryWatch::RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
-                             const Translator& translator, const grpc::ChannelOptions& options, Tell tell)
+                             const EntryResolver& translator, const grpc::ChannelOptions& options,
+                             UpdateHandler tell)
     : node_(std::move(node)),
-      translator_(translator),
-      tell_(std::move(tell)),
+      resolver_(translator),
+      onUpdate_(std::move(tell)),
       channel_(loop, registry, options) {}
 
 RegistryWatch::~RegistryWatch() {
@@ -50,14 +51,14 @@
   v1::WatchRequest request;
   request.set_node(node_);
   watch_ = channel_.start("/gannetcourse.v1.Registry/Watch", request.SerializeAsString());
-  watch_->onMessage = [this](std::string_view message) { take(message); };
+  watch_->onMessage = [this](std::string_view message) { onMessage(message); };
   watch_->onEnd = [this](const grpc::CallEnd&) {
     watch_.reset();
-    tell_({EngineListUpdate::Scope::kFetchFailed, 0, {}});
+    onUpdate_({EngineListUpdate::Scope::kFetchFailed, 0, {}});
   };
 }
 
-void RegistryWatch::take(std::string_view message) {
+void RegistryWatch::onMessage(std::string_view message) {
   v1::EngineList told;
   if (!told.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
     watch_->cancel();
@@ -75,17 +76,17 @@
     engine.entry.state = stateOf(e.state());
     engine.zone = e.zone();
     engine.startedUnixMs = e.started_unix_ms();
-    engine.leavesUnixMs = e.leaves_unix_ms();
+    engine.shutdownUnixMs = e.leaves_unix_ms();
     const auto address = net::parseEndpoint(e.address());
     // An engine without a usable address can be sent nothing: it counts as gone.
     if (address)
       engine.address = *address;
     else
       engine.entry.state = EngineEntry::State::kRemoved;
-    translator_.complete(engine);
+    resolver_.resolve(engine);
     list.engines.push_back(std::move(engine));
   }
-  tell_(std::move(list));
+  onUpdate_(std::move(list));
 }
 
 }  // namespace gannetcourse::discovery
--- a/src/discovery/registry.h
+++ b/src/discovery/registry_watch.h
@@ -12,9 +12,10 @@
 
 class RegistryWatch {
  public:
-  using Tell = std::function<void(EngineList list)>;  // scope kFailed: the call failed or its stream ended
+  using UpdateHandler =
+      std::function<void(EngineList list)>;  // scope kFailed: the call failed or its stream ended
   RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
-                const Translator& translator, const grpc::ChannelOptions& options, Tell tell);
+                const EntryResolver& translator, const grpc::ChannelOptions& options, UpdateHandler tell);
   ~RegistryWatch();
   RegistryWatch(const RegistryWatch&) = delete;
   RegistryWatch& operator=(const RegistryWatch&) = delete;
@@ -22,11 +23,11 @@
   void subscribe();  // a watch that stands is ended first
 
  private:
-  void take(std::string_view message);
+  void onMessage(std::string_view message);
 
   std::string node_;
-  const Translator& translator_;
-  Tell tell_;
+  const EntryResolver& resolver_;
+  UpdateHandler onUpdate_;
   grpc::Channel channel_;
   std::shared_ptr<grpc::ClientCall> watch_;
 };
--- a/src/engines/fleet.cpp
+++ b/src/engines/grpc_engine_transport.cpp
@@ -1,4 +1,4 @@
-#include "engines/fleet.h"
+#include "engines/grpc_engine_transport.h"
 
 #include <utility>
 
@@ -70,7 +70,7 @@
 }
 
 // Whether the engine itself has ended the call, by word or by ending the connection that it was on.
-recovery::AttemptEnd endingOf(const grpc::CallEnd& end) {
+recovery::AttemptEnd attemptEndOf(const grpc::CallEnd& end) {
   switch (end.kind) {
     case grpc::CallEnd::Kind::kAbandoned:
     case grpc::CallEnd::Kind::kMalformed:
@@ -81,67 +81,68 @@
   }
 }
 
-Fleet::Fleet(net::Loop& loop, std::string node, Duration lease, const grpc::ChannelOptions& options,
-             EngineEventHandler& sink)
+GrpcEngineTransport::GrpcEngineTransport(net::Loop& loop, std::string node, Duration lease,
+                                         const grpc::ChannelOptions& options, EngineEventHandler& sink)
     : loop_(loop),
       node_(std::move(node)),
       leaseMs_(static_cast<std::uint32_t>(lease.count() * 1000)),
       options_(options),
-      sink_(sink),
-      token_(std::make_unique<v1::DecodeToken>()) {}
+      handler_(sink),
+      decodeToken_(std::make_unique<v1::DecodeToken>()) {}
 
-Fleet::~Fleet() {
+GrpcEngineTransport::~GrpcEngineTransport() {
   *alive_ = false;
-  for (auto& [id, small] : small_) loop_.cancelTimer(small.timer);
+  for (auto& [id, small] : auxiliaryCalls_) loop_.cancelTimer(small.timer);
 }
 
-void Fleet::update(const discovery::EngineList& list) {
+void GrpcEngineTransport::updateEngines(const discovery::EngineList& list) {
   if (list.scope == EngineListUpdate::Scope::kFetchFailed) return;
   if (list.scope != EngineListUpdate::Scope::kDelta) {
-    for (auto& [id, engine] : engines_) engine.gone = true;
+    for (auto& [id, engine] : engines_) engine.removed = true;
   }
   for (const discovery::Engine& told : list.engines) {
     Engine& engine = engines_[told.entry.id];
-    engine.gone = told.entry.state == EngineEntry::State::kRemoved;
-    if (engine.gone || (engine.channel && engine.address == told.address)) continue;
+    engine.removed = told.entry.state == EngineEntry::State::kRemoved;
+    if (engine.removed || (engine.channel && engine.address == told.address)) continue;
     engine.address = told.address;
-    retire(engine);
+    retireChannel(engine);
     engine.channel = std::make_shared<grpc::Channel>(loop_, told.address, options_);
-    engine.channel->onGoaway = [this, id = told.entry.id] { sink_.onGoAway(id); };
+    engine.channel->onGoaway = [this, id = told.entry.id] { handler_.onGoAway(id); };
   }
   for (auto& [id, engine] : engines_) {
-    if (engine.gone && engine.channel) engine.channel->closeIdle();
+    if (engine.removed && engine.channel) engine.channel->closeIdle();
   }
   for (auto it = engines_.begin(); it != engines_.end();) {
     Engine& engine = it->second;
-    const bool unused = engine.gone && (!engine.channel || engine.channel->connections() == 0);
-    if (unused) retire(engine);
+    const bool unused = engine.removed && (!engine.channel || engine.channel->connections() == 0);
+    if (unused) retireChannel(engine);
     it = unused ? engines_.erase(it) : std::next(it);
   }
 }
 
 // Calls on it end as broken; the channel itself goes once nobody is inside it.
-void Fleet::retire(Engine& engine) {
+void GrpcEngineTransport::retireChannel(Engine& engine) {
   if (!engine.channel) return;
   const std::shared_ptr<grpc::Channel> old = std::move(engine.channel);
   loop_.defer([old] { old->closeAll(); });
   loop_.runAfter(Duration(0), [old] {});
 }
 
-grpc::Channel* Fleet::channelOf(EngineId id) {
+grpc::Channel* GrpcEngineTransport::findChannel(EngineId id) {
   const auto it = engines_.find(id);
   return it == engines_.end() ? nullptr : it->second.channel.get();
 }
 
-void Fleet::failAtOnce(router::CallKey key, const char* why) {
+void GrpcEngineTransport::failUnreachable(router::CallKey key, const char* why) {
   loop_.defer([this, alive = alive_, key, why] {
-    if (*alive) sink_.onCallEnded(key, Outcome::kConnectFailed, 0, {}, why, recovery::AttemptEnd::kConfirmed);
+    if (*alive)
+      handler_.onCallEnded(key, Outcome::kConnectFailed, 0, {}, why, recovery::AttemptEnd::kConfirmed);
   });
 }
 
-void Fleet::start(const router::StartPrefill& read) {
-  grpc::Channel* const channel = channelOf(read.engine);
-  if (channel == nullptr) return failAtOnce(read.call, "engine has no address");
+void GrpcEngineTransport::start(const router::StartPrefill& read) {
+  grpc::Channel* const channel = findChannel(read.engine);
+  if (channel == nullptr) return failUnreachable(read.call, "engine has no address");
   v1::PrefillRequest request;
   setName(request.mutable_name(), read.id, read.attempt, node_);
   request.set_request_class(read.payload->requestClass);
@@ -154,11 +155,11 @@
   const auto call =
       channel->start("/gannetcourse.v1.Engine/Prefill", request.SerializeAsString(), read.timeUntilDeadline);
   calls_[read.call] = {call, true, false, 0, {}};
-  call->onMessage = [this, key = read.call](std::string_view message) { takeRead(key, message); };
-  call->onEnd = [this, key = read.call](const grpc::CallEnd& end) { ended(key, end); };
+  call->onMessage = [this, key = read.call](std::string_view message) { onPrefillReply(key, message); };
+  call->onEnd = [this, key = read.call](const grpc::CallEnd& end) { onCallEnd(key, end); };
 }
 
-void Fleet::takeRead(router::CallKey key, std::string_view message) {
+void GrpcEngineTransport::onPrefillReply(router::CallKey key, std::string_view message) {
   const auto it = calls_.find(key);
   v1::PrefillReply reply;
   if (it == calls_.end() || !parse(reply, message)) return;
@@ -167,12 +168,12 @@
   const std::shared_ptr<grpc::ClientCall> done = call.call;
   calls_.erase(it);
   done->onEnd = nullptr;
-  sink_.onPrefillEnded(key, reply.state(), reply.kept_tokens(), loadOf(reply.has_load(), reply.load()));
+  handler_.onPrefillEnded(key, reply.state(), reply.kept_tokens(), loadOf(reply.has_load(), reply.load()));
 }
 
-void Fleet::start(const router::StartDecode& write) {
-  grpc::Channel* const channel = channelOf(write.engine);
-  if (channel == nullptr) return failAtOnce(write.call, "engine has no address");
+void GrpcEngineTransport::start(const router::StartDecode& write) {
+  grpc::Channel* const channel = findChannel(write.engine);
+  if (channel == nullptr) return failUnreachable(write.call, "engine has no address");
   v1::DecodeRequest request;
   setName(request.mutable_name(), write.id, write.attempt, node_);
   request.set_request_class(write.payload->requestClass);
@@ -195,46 +196,47 @@
   const auto call =
       channel->start("/gannetcourse.v1.Engine/Decode", request.SerializeAsString(), write.timeUntilDeadline);
   calls_[write.call] = {call, false, false, 0, {}};
-  call->onMessage = [this, key = write.call](std::string_view message) { takeToken(key, message); };
-  call->onEnd = [this, key = write.call](const grpc::CallEnd& end) { ended(key, end); };
+  call->onMessage = [this, key = write.call](std::string_view message) { onDecodeToken(key, message); };
+  call->onEnd = [this, key = write.call](const grpc::CallEnd& end) { onCallEnd(key, end); };
 }
 
-void Fleet::takeToken(router::CallKey key, std::string_view message) {
+void GrpcEngineTransport::onDecodeToken(router::CallKey key, std::string_view message) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
-  v1::DecodeToken& token = *token_;
+  v1::DecodeToken& token = *decodeToken_;
   if (!parse(token, message)) return it->second.call->cancel();
   if (token.has_load()) it->second.load = loadOf(true, token.load());
-  if (token.kept_tokens() > 0) it->second.kept = token.kept_tokens();
-  sink_.onToken(key, token.index(), std::move(*token.mutable_text()));
+  if (token.kept_tokens() > 0) it->second.cachedTokens = token.kept_tokens();
+  handler_.onToken(key, token.index(), std::move(*token.mutable_text()));
 }
 
-void Fleet::ended(router::CallKey key, const grpc::CallEnd& end) {
+void GrpcEngineTransport::onCallEnd(router::CallKey key, const grpc::CallEnd& end) {
   auto node = calls_.extract(key);
   if (node.empty()) return;
   const Call& call = node.mapped();
   Outcome outcome = outcomeOf(end);
-  if (call.reads && outcome == Outcome::kOk) outcome = Outcome::kError;  // a status without a reply
+  if (call.isPrefill && outcome == Outcome::kOk) outcome = Outcome::kError;  // a status without a reply
   const std::string why =
       outcome == Outcome::kOk ? "" : std::string(grpc::nameOf(end.status.code)) + ": " + end.status.message;
-  sink_.onCallEnded(key, outcome, call.kept, call.load, why, endingOf(end));
+  handler_.onCallEnded(key, outcome, call.cachedTokens, call.load, why, attemptEndOf(end));
 }
 
-void Fleet::cancelCall(router::CallKey key) {
+void GrpcEngineTransport::cancelCall(router::CallKey key) {
   auto node = calls_.extract(key);
   if (!node.empty()) node.mapped().call->cancel();
 }
 
-void Fleet::pauseStream(router::CallKey key, bool paused) {
+void GrpcEngineTransport::pauseStream(router::CallKey key, bool paused) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
   const std::shared_ptr<grpc::ClientCall> call = it->second.call;
   call->pause(paused);
 }
 
-void Fleet::startSmall(EngineId engine, const std::string& method, const std::string& message, Duration most,
-                       std::function<void(const grpc::CallEnd&, const std::string&)> then) {
-  grpc::Channel* const channel = channelOf(engine);
+void GrpcEngineTransport::startAuxiliaryCall(
+    EngineId engine, const std::string& method, const std::string& message, Duration most,
+    std::function<void(const grpc::CallEnd&, const std::string&)> then) {
+  grpc::Channel* const channel = findChannel(engine);
   if (channel == nullptr) {
     loop_.defer([alive = alive_, then = std::move(then)] {
       if (*alive)
@@ -242,79 +244,79 @@
     });
     return;
   }
-  const std::uint64_t key = ++lastSmall_;
+  const std::uint64_t key = ++lastAuxiliaryCall_;
   const auto call = channel->start(method, message, most);
   const auto reply = std::make_shared<std::string>();
   call->onMessage = [reply](std::string_view bytes) { reply->assign(bytes); };
   call->onEnd = [this, alive = alive_, key, reply, then = std::move(then)](const grpc::CallEnd& end) {
     if (!*alive) return;
-    const auto node = small_.extract(key);
+    const auto node = auxiliaryCalls_.extract(key);
     if (!node.empty()) loop_.cancelTimer(node.mapped().timer);
     then(end, *reply);
   };
-  small_[key] = {call, loop_.runAfter(most, [call] { call->cancel(); })};
+  auxiliaryCalls_[key] = {call, loop_.runAfter(most, [call] { call->cancel(); })};
 }
 
-void Fleet::reserve(const router::ReserveCapacity& seat) {
+void GrpcEngineTransport::reserve(const router::ReserveCapacity& seat) {
   v1::ReserveRequest request;
   setName(request.mutable_name(), seat.id, seat.attempt, node_);
   request.set_tokens(seat.tokens);
-  startSmall(
+  startAuxiliaryCall(
       seat.engine, "/gannetcourse.v1.Engine/Reserve", request.SerializeAsString(), kSmallCall,
       [this, key = seat.request, engine = seat.engine](const grpc::CallEnd& end, const std::string& bytes) {
         v1::ReserveReply reply;
         const bool held = outcomeOf(end) == Outcome::kOk && parse(reply, bytes) && reply.held();
-        sink_.onReservationResult(key, engine, held);
+        handler_.onReservationResult(key, engine, held);
       });
 }
 
-void Fleet::releaseState(const router::ReleaseState& letGo) {
+void GrpcEngineTransport::releaseState(const router::ReleaseState& letGo) {
   v1::ReleaseRequest request;
   setName(request.mutable_name(), letGo.id, letGo.attempt, node_);
-  sendRelease(std::make_shared<const Release>(
-      Release{letGo.engine, request.SerializeAsString(), loop_.now() + kReleaseWithin}));
+  sendRelease(std::make_shared<const PendingRelease>(
+      PendingRelease{letGo.engine, request.SerializeAsString(), loop_.now() + kReleaseWithin}));
 }
 
-void Fleet::sendRelease(const std::shared_ptr<const Release>& release) {
-  startSmall(release->engine, "/gannetcourse.v1.Engine/Release", release->message, kReleaseAnswer,
-             [this, release](const grpc::CallEnd& end, const std::string&) {
-               // The states of an engine that is off the list have ended with the connection to it.
-               const bool known = engines_.count(release->engine) > 0;
-               const bool room = releasesThatWait_ < kMostReleasesThatWait;
-               if (outcomeOf(end) != Outcome::kOk && known && room && loop_.now() < release->until)
-                 sendReleaseLater(release);
-             });
+void GrpcEngineTransport::sendRelease(const std::shared_ptr<const PendingRelease>& release) {
+  startAuxiliaryCall(release->engine, "/gannetcourse.v1.Engine/Release", release->message, kReleaseAnswer,
+                     [this, release](const grpc::CallEnd& end, const std::string&) {
+                       // The states of an engine that is off the list have ended with the connection to it.
+                       const bool known = engines_.count(release->engine) > 0;
+                       const bool room = releasesAwaitingRetry_ < kMostReleasesThatWait;
+                       if (outcomeOf(end) != Outcome::kOk && known && room && loop_.now() < release->giveUpAt)
+                         retryRelease(release);
+                     });
 }
 
-void Fleet::sendReleaseLater(const std::shared_ptr<const Release>& release) {
-  ++releasesThatWait_;
+void GrpcEngineTransport::retryRelease(const std::shared_ptr<const PendingRelease>& release) {
+  ++releasesAwaitingRetry_;
   loop_.runAfter(kReleaseAgain, [this, alive = alive_, release] {
     if (!*alive) return;
-    --releasesThatWait_;
+    --releasesAwaitingRetry_;
     sendRelease(release);
   });
 }
 
-void Fleet::fenceAttempt(const router::FenceAttempt& fence) {
+void GrpcEngineTransport::fenceAttempt(const router::FenceAttempt& fence) {
   v1::FenceRequest request;
   setName(request.mutable_name(), fence.id, fence.attempt, node_);
-  startSmall(
+  startAuxiliaryCall(
       fence.engine, "/gannetcourse.v1.Engine/Fence", request.SerializeAsString(), kSmallCall,
       [this, key = fence.request, attempt = fence.attempt](const grpc::CallEnd& end, const std::string&) {
-        if (outcomeOf(end) == Outcome::kOk) sink_.onAttemptFenced(key, attempt);
+        if (outcomeOf(end) == Outcome::kOk) handler_.onAttemptFenced(key, attempt);
       });
 }
 
-void Fleet::probe(EngineId engine) {
-  startSmall(
+void GrpcEngineTransport::probe(EngineId engine) {
+  startAuxiliaryCall(
       engine, "/gannetcourse.v1.Engine/Probe", v1::ProbeRequest().SerializeAsString(), kSmallCall,
       [this, engine, from = loop_.now()](const grpc::CallEnd& end, const std::string& bytes) {
         v1::ProbeReply reply;
         const Outcome told = outcomeOf(end);
         const bool good = told == Outcome::kOk && parse(reply, bytes);
         const Outcome outcome = good ? Outcome::kOk : told == Outcome::kCancelled ? Outcome::kTimeout : told;
-        sink_.onProbeEnded(engine, outcome, loop_.now() - from,
-                           loadOf(good && reply.has_load(), reply.load()));
+        handler_.onProbeEnded(engine, outcome, loop_.now() - from,
+                              loadOf(good && reply.has_load(), reply.load()));
       });
 }
 
--- a/src/engines/fleet.h
+++ b/src/engines/grpc_engine_transport.h
@@ -20,16 +20,16 @@
 // run".
 Outcome outcomeOf(const grpc::CallEnd& end);
 
-class Fleet final : public EngineTransport {
+class GrpcEngineTransport final : public EngineTransport {
  public:
   // `lease`: what engines are told of how long a stream outlives the last that they hear of this node.
-  Fleet(net::Loop& loop, std::string node, Duration lease, const grpc::ChannelOptions& options,
-        EngineEventHandler& sink);
-  ~Fleet() override;
-  Fleet(const Fleet&) = delete;
-  Fleet& operator=(const Fleet&) = delete;
+  GrpcEngineTransport(net::Loop& loop, std::string node, Duration lease, const grpc::ChannelOptions& options,
+                      EngineEventHandler& sink);
+  ~GrpcEngineTransport() override;
+  GrpcEngineTransport(const GrpcEngineTransport&) = delete;
+  GrpcEngineTransport& operator=(const GrpcEngineTransport&) = delete;
 
-  void update(const discovery::EngineList& list);
+  void updateEngines(const discovery::EngineList& list);
 
   void start(const router::StartPrefill& read) override;
   void start(const router::StartDecode& write) override;
@@ -40,55 +40,56 @@
   void probe(EngineId engine) override;
   void pauseStream(router::CallKey call, bool paused) override;
 
-  std::size_t auxiliaryCalls() const override { return small_.size() + releasesThatWait_; }
+  std::size_t auxiliaryCalls() const override { return auxiliaryCalls_.size() + releasesAwaitingRetry_; }
 
  private:
   struct Engine {
     net::Endpoint address;
     std::shared_ptr<grpc::Channel> channel;
-    bool gone = false;
+    bool removed = false;
   };
   struct Call {
     std::shared_ptr<grpc::ClientCall> call;
-    bool reads = false, answered = false;
-    double kept = 0;
+    bool isPrefill = false, answered = false;
+    double cachedTokens = 0;
     std::optional<LoadReport> load;
   };
 
   // A release that its engine has to take: the state is with it alone.
-  struct Release {
+  struct PendingRelease {
     EngineId engine;
     std::string message;
-    Instant until;  // then it is given up
+    Instant giveUpAt;  // then it is given up
   };
 
-  void retire(Engine& engine);
-  void sendRelease(const std::shared_ptr<const Release>& release);
-  void sendReleaseLater(const std::shared_ptr<const Release>& release);
-  grpc::Channel* channelOf(EngineId id);
-  void failAtOnce(router::CallKey key, const char* why);
-  void ended(router::CallKey key, const grpc::CallEnd& end);
-  void takeRead(router::CallKey key, std::string_view message);
-  void takeToken(router::CallKey key, std::string_view message);
+  void retireChannel(Engine& engine);
+  void sendRelease(const std::shared_ptr<const PendingRelease>& release);
+  void retryRelease(const std::shared_ptr<const PendingRelease>& release);
+  grpc::Channel* findChannel(EngineId id);
+  void failUnreachable(router::CallKey key, const char* why);
+  void onCallEnd(router::CallKey key, const grpc::CallEnd& end);
+  void onPrefillReply(router::CallKey key, std::string_view message);
+  void onDecodeToken(router::CallKey key, std::string_view message);
   // A short call whose end is told to `then`, cut off after `most`.
-  void startSmall(EngineId engine, const std::string& method, const std::string& message, Duration most,
-                  std::function<void(const grpc::CallEnd&, const std::string& reply)> then);
+  void startAuxiliaryCall(EngineId engine, const std::string& method, const std::string& message,
+                          Duration most,
+                          std::function<void(const grpc::CallEnd&, const std::string& reply)> then);
 
   net::Loop& loop_;
   std::string node_;
   std::uint32_t leaseMs_;
   grpc::ChannelOptions options_;
-  EngineEventHandler& sink_;
-  std::unique_ptr<v1::DecodeToken> token_;  // the one at hand
+  EngineEventHandler& handler_;
+  std::unique_ptr<v1::DecodeToken> decodeToken_;  // the one at hand
   std::map<EngineId, Engine> engines_;
   std::unordered_map<router::CallKey, Call> calls_;
-  struct Small {
+  struct AuxiliaryCall {
     std::shared_ptr<grpc::ClientCall> call;
     net::TimerId timer = 0;
   };
-  std::unordered_map<std::uint64_t, Small> small_;
-  std::uint64_t lastSmall_ = 0;
-  std::size_t releasesThatWait_ = 0;  // to be sent again
+  std::unordered_map<std::uint64_t, AuxiliaryCall> auxiliaryCalls_;
+  std::uint64_t lastAuxiliaryCall_ = 0;
+  std::size_t releasesAwaitingRetry_ = 0;  // to be sent again
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/frontend/chat.cpp
+++ b/src/frontend/chat_service.cpp
@@ -1,11 +1,11 @@
-#include "frontend/chat.h"
+#include "frontend/chat_service.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "config/in_service.h"
+#include "config/reload.h"
 #include "gannetcourse/v1/chat.pb.h"
 #include "gannetcourse/v1/resume.pb.h"
 
@@ -22,7 +22,7 @@
       : router_(router), call_(std::move(call)), key_(key), point_(std::move(point)) {}
 
   void sendResumePoint(const router::ResumePoint& from) override {
-    if (!router_.sealer().able()) return;
+    if (!router_.sealer().hasKey()) return;
     point_.set_request(from.id);
     point_.set_attempt(static_cast<std::uint32_t>(from.attempt));
     point_.set_engine(from.engine.value);
@@ -38,7 +38,7 @@
     token_.clear_resume();
     const std::size_t waiting = call_->send(bytes_);
     // Said again for each token that still comes: a further writer does not know of it yet.
-    if (waiting >= router_.settings().streamBuffer) {
+    if (waiting >= router_.settings().streamBufferBytes) {
       paused_ = true;
       router_.pauseRequest(key_, true);
     }
@@ -47,7 +47,7 @@
   void sendFinalResponse(const router::FinalResponse& answer) override {
     call_->onCancelled = nullptr;
     call_->onDrained = nullptr;
-    call_->finish(statusOf(answer), trailersOf(answer));
+    call_->finish(toGrpcStatus(answer), toTrailers(answer));
     // Most answers are out by the end of this iteration.
     if (call_->pendingBytes() > 0)
       router_.loop().defer([&loop = router_.loop(), call = std::weak_ptr(call_)] { linger(loop, call); });
@@ -104,17 +104,17 @@
       : settings_(settings), sealer_(sealer), ask_(ask) {}
 
   std::optional<grpc::Status> check(Duration timeLeft, router::NewRequest& arrival) const {
-    const auto classAt = config::classInService(settings_, ask_.request_class());
+    const auto classAt = config::findClassInService(settings_, ask_.request_class());
     if (!classAt) return invalid("request_class: '" + ask_.request_class() + "' is not a class of this node");
     const config::ClassLimits& limits = settings_.classes[*classAt];
     if (auto fault = checkTenant(arrival)) return fault;
     if (auto fault = checkSizes(limits)) return fault;
     arrival.classIndex = *classAt;
-    arrival.timeUntilDeadline = std::min(timeLeft, settings_.longestDeadline);
-    arrival.firstTokenTimeout = limits.firstTokenWithin;
+    arrival.timeUntilDeadline = std::min(timeLeft, settings_.maxDeadline);
+    arrival.firstTokenTimeout = limits.firstTokenTimeout;
     arrival.isRetry = ask_.is_retry();
-    arrival.sessionKey = keyOf(ask_.session());
-    arrival.prefixKey = keyOf(ask_.prefix_key());
+    arrival.sessionKey = hashKey(ask_.session());
+    arrival.prefixKey = hashKey(ask_.prefix_key());
     const Duration pace = settings_.policy.classes[*classAt].interTokenObjective;
     if (ask_.expected_output_tokens() > 0 && pace.count() > 0)
       arrival.expectedOutputDuration = pace * ask_.expected_output_tokens();
@@ -127,7 +127,7 @@
     const auto& tenants = settings_.policy.tenants;
     const bool none = std::none_of(tenants.begin(), tenants.end(), [](const auto& t) { return t.inService; });
     if (none && ask_.tenant().empty()) return std::nullopt;
-    arrival.tenant = config::tenantInService(settings_, ask_.tenant());
+    arrival.tenant = config::findTenantInService(settings_, ask_.tenant());
     if (!arrival.tenant) return invalid("tenant: '" + ask_.tenant() + "' is not a tenant of this node");
     return std::nullopt;
   }
@@ -148,7 +148,7 @@
 
   std::optional<grpc::Status> checkResume(router::NewRequest& arrival) const {
     if (ask_.resume().empty()) return std::nullopt;
-    if (!sealer_.able()) return invalid("resume: this node has no key (settings, resume key-file)");
+    if (!sealer_.hasKey()) return invalid("resume: this node has no key (settings, resume key-file)");
     const std::optional<std::string> opened = sealer_.open(ask_.resume());
     v1::ResumePoint point;
     if (!opened || !point.ParseFromString(*opened))
@@ -156,7 +156,7 @@
     if (!sameRequest(point, pointOf(ask_))) return invalid("resume: belongs to another request");
     if (settings_.policy.classes[arrival.classIndex].idempotency != Idempotency::kIdempotent)
       return invalid("resume: the effect of this class may have happened");
-    if (net::unixMillis() - point.issued_unix_ms() > settings_.longestDeadline.count() * 1000)
+    if (net::unixMillis() - point.issued_unix_ms() > settings_.maxDeadline.count() * 1000)
       return invalid("resume: is older than longest-deadline");
     if (ask_.received_tokens() == 0) return invalid("received_tokens: is missing");
     if (ask_.received_tokens() > arrival.payload->maxOutputTokens)
@@ -197,7 +197,7 @@
   if (!ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return call->finish(invalid("request: is not a GenerateRequest"));
   const Duration left = *call->timeout() - (router.loop().now() - call->receivedAt());
-  if (left <= router.settings().answerMargin)
+  if (left <= router.settings().responseMargin)
     return call->finish(
         {grpc::Code::kDeadlineExceeded, "grpc-timeout: is past, or shorter than this node needs"});
   router::NewRequest arrival;
@@ -214,19 +214,19 @@
 
 }  // namespace
 
-void serveChat(grpc::Server& server, RouterHandle& router) {
+void registerChatService(grpc::Server& server, RouterHandle& router) {
   server.handle("/gannetcourse.v1.Chat/Generate",
                 [&router](const std::shared_ptr<grpc::ServerCall>& call, std::string_view request) {
                   take(router, call, request);
                 });
 }
 
-std::uint64_t keyOf(const std::string& name) {
+std::uint64_t hashKey(const std::string& name) {
   if (name.empty()) return 0;
   return std::max<std::uint64_t>(1, XXH3_64bits(name.data(), name.size()));
 }
 
-grpc::Status statusOf(const router::FinalResponse& answer) {
+grpc::Status toGrpcStatus(const router::FinalResponse& answer) {
   switch (answer.status) {
     case router::FinalStatus::kServed:
       return {};
@@ -240,7 +240,7 @@
   return {grpc::Code::kUnknown, {}};
 }
 
-http2::Headers trailersOf(const router::FinalResponse& answer) {
+http2::Headers toTrailers(const router::FinalResponse& answer) {
   http2::Headers trailers = {{"gannetcourse-verdict", router::nameOf(answer.status)}};
   if (answer.status == router::FinalStatus::kRejected)
     trailers.push_back(
--- a/src/frontend/chat.h
+++ b/src/frontend/chat_service.h
@@ -11,13 +11,13 @@
 namespace gannetcourse::frontend {
 
 // Registers gannetcourse.v1.Chat on the server. Both must outlive it and each other's last call.
-void serveChat(grpc::Server& server, RouterHandle& router);
+void registerChatService(grpc::Server& server, RouterHandle& router);
 
 // The key of a session or prefix name, alike on all nodes; 0 = none.
-std::uint64_t keyOf(const std::string& name);
+std::uint64_t hashKey(const std::string& name);
 
 // The status and trailers that a final answer goes out with.
-grpc::Status statusOf(const router::FinalResponse& answer);
-http2::Headers trailersOf(const router::FinalResponse& answer);
+grpc::Status toGrpcStatus(const router::FinalResponse& answer);
+http2::Headers toTrailers(const router::FinalResponse& answer);
 
 }  // namespace gannetcourse::frontend
--- a/src/frontend/health.cpp
+++ b/src/frontend/health_service.cpp
@@ -1,4 +1,4 @@
-#include "frontend/health.h"
+#include "frontend/health_service.h"
 
 #include "gannetcourse/v1/health.pb.h"
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Health::Health(grpc::Server& server, RouterHandle& router) : router_(router) {
+HealthService::HealthService(grpc::Server& server, RouterHandle& router) : router_(router) {
   server.handle("/grpc.health.v1.Health/Check", [this](const std::shared_ptr<grpc::ServerCall>& call,
                                                        std::string_view bytes) {
     HealthCheckRequest ask;
@@ -45,17 +45,17 @@
                 });
 }
 
-void Health::changed() {
+void HealthService::onServingMayHaveChanged() {
   const bool now = router_.isServing();
-  if (now == last_) return;
-  last_ = now;
+  if (now == lastReported_) return;
+  lastReported_ = now;
   std::erase_if(watches_, [](const auto& watch) { return watch.expired(); });
   for (const auto& watch : watches_) {
     if (const auto call = watch.lock()) call->send(message(now));
   }
 }
 
-void Health::end() {
+void HealthService::endWatches() {
   for (const auto& watch : std::exchange(watches_, {})) {
     if (const auto call = watch.lock()) call->finish({grpc::Code::kUnavailable, "node goes down"});
   }
--- a/src/frontend/health.h
+++ b/src/frontend/health_service.h
@@ -9,16 +9,17 @@
 
 namespace gannetcourse::frontend {
 
-class Health {
+class HealthService {
  public:
-  Health(grpc::Server& server, RouterHandle& router);
-  void changed();  // to be called whenever RouterSide::serving() may have changed; tells the watchers
-  void end();      // ends the watches: the node goes down
+  HealthService(grpc::Server& server, RouterHandle& router);
+  void onServingMayHaveChanged();  // to be called whenever RouterSide::serving() may have changed; tells the
+                                   // watchers
+  void endWatches();               // ends the watches: the node goes down
 
  private:
   RouterHandle& router_;
   std::vector<std::weak_ptr<grpc::ServerCall>> watches_;
-  bool last_ = false;
+  bool lastReported_ = false;
 };
 
 }  // namespace gannetcourse::frontend
--- a/src/node/core_driver.cpp
+++ b/src/node/core_driver.cpp
@@ -20,7 +20,7 @@
 CoreDriver::~CoreDriver() { loop_.cancelTimer(timer_); }
 
 void CoreDriver::stop() {
-  ending_ = true;
+  stopped_ = true;
   loop_.cancelTimer(std::exchange(timer_, 0));
   hooks_ = {};
   clients_.clear();  // while the fronts that they belong to still stand
@@ -39,7 +39,7 @@
 }
 
 void CoreDriver::pauseRequest(router::RequestKey request, bool paused) {
-  if (ending_) return;
+  if (stopped_) return;
   core_.onClientPaused(loop_.now(), request, paused);
   engines_->pauseStream(core_.streamingCall(request), paused);
 }
@@ -116,21 +116,21 @@
              command);
 }
 
-void CoreDriver::run() {
+void CoreDriver::runCommands() {
   // What is carried out may call back in here; the outermost run does it all, in order.
-  if (std::exchange(running_, true)) return;
+  if (std::exchange(runningCommands_, true)) return;
   while (core_.takeCommandsInto(commands_)) {
     for (const router::Command& command : commands_) execute(command);
   }
-  running_ = false;
+  runningCommands_ = false;
   const std::optional<Instant> wake = core_.nextWakeup();
-  if (wake && (timer_ == 0 || *wake != timerAt_)) {
+  if (wake && (timer_ == 0 || *wake != timerDueAt_)) {
     loop_.cancelTimer(timer_);
-    timerAt_ = *wake;
+    timerDueAt_ = *wake;
     timer_ = loop_.runAt(*wake, [this] {
       timer_ = 0;
       core_.advance(loop_.now());
-      run();
+      runCommands();
       if (hooks_.onTimerTurn) hooks_.onTimerTurn();
     });
   }
--- a/src/node/core_driver.h
+++ b/src/node/core_driver.h
@@ -35,9 +35,9 @@
   // One step of the core, then what it has to say.
   template <class Step>
   void step(const Step& what) {
-    if (ending_) return;
+    if (stopped_) return;
     what(core_, loop_.now());
-    run();
+    runCommands();
   }
 
   // ---- From the fronts ----
@@ -63,7 +63,7 @@
   void onReservationResult(router::RequestKey request, EngineId engine, bool held) override;
 
  private:
-  void run();  // carries out what the core has to say, and sets its timer
+  void runCommands();  // carries out what the core has to say, and sets its timer
 
   net::Loop& loop_;
   Hooks hooks_;
@@ -73,8 +73,8 @@
   std::vector<router::Command> commands_;  // being carried out
   router::RequestKey lastKey_ = 0;
   net::TimerId timer_ = 0;
-  Instant timerAt_{};
-  bool running_ = false, ending_ = false;
+  Instant timerDueAt_{};
+  bool runningCommands_ = false, stopped_ = false;
 };
 
 }  // namespace gannetcourse::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "config/settings.h"
-#include "discovery/registry.h"
-#include "engines/fleet.h"
-#include "frontend/health.h"
+#include "discovery/registry_watch.h"
+#include "engines/grpc_engine_transport.h"
+#include "frontend/health_service.h"
 #include "frontend/router_handle.h"
 #include "gannetcourse/router.h"
 #include "grpc/server.h"
@@ -21,7 +21,7 @@
 class Node final : private frontend::RouterHandle {
  public:
   struct Hooks {
-    std::function<void(const router::Record&)> record;  // each decision; must not block
+    std::function<void(const router::Record&)> onRecord;  // each decision; must not block
     std::function<void(const std::string& package, const std::string& level, const std::string& text)> log;
   };
   // Makes what runs the core and carries its commands out.
@@ -37,7 +37,7 @@
 
   std::uint16_t port() const { return server_.port(); }
   const router::Core& core() const { return driver_->core(); }
-  std::size_t engines() const { return merged_.engines().size(); }
+  std::size_t engineCount() const { return engineList_.engines().size(); }
 
   // Takes what may change in service, and reads the fleet file again. Throws config::Faults, or
   // std::invalid_argument naming what needs a restart; then everything stays as it was.
@@ -60,25 +60,25 @@
   bool isServing() const override;
 
   CoreDriver::Hooks driverHooks();
-  void takeList(const discovery::EngineList& list);
-  void loadLists();
-  void checkDrained();
+  void onEngineList(const discovery::EngineList& list);
+  void loadInitialList();
+  void completeDrainIfIdle();
   void log(const char* package, const char* level, const std::string& text);
 
   net::Loop& loop_;
   config::NodeSettings settings_;
   resume::Sealer sealer_;
   Hooks hooks_;
-  discovery::Translator translator_;
+  discovery::EntryResolver resolver_;
   std::unique_ptr<CoreDriver> driver_;
-  engines::Fleet fleet_;
+  engines::GrpcEngineTransport transport_;
   grpc::Server server_;
-  frontend::Health health_;
-  discovery::Merged merged_;
-  discovery::SavedList saved_;
-  std::uint64_t savedFailures_ = 0;  // of which the log has been told
+  frontend::HealthService health_;
+  discovery::EngineListState engineList_;
+  discovery::EngineListCache engineListCache_;
+  std::uint64_t loggedCacheFailures_ = 0;  // of which the log has been told
   std::unique_ptr<discovery::RegistryWatch> registry_;
-  std::function<void()> drained_;
+  std::function<void()> onDrained_;
 };
 
 }  // namespace gannetcourse::node
--- a/src/resume/seal.cpp
+++ b/src/resume/seal.cpp
@@ -48,7 +48,8 @@
 Sealer Sealer::load(const std::string& path) {
   std::ifstream file(path);
   if (!file)
-    throw config::Faults({{path, 0, "the key file cannot be read", "name a file that this user may read"}});
+    throw config::InvalidFile(
+        {{path, 0, "the key file cannot be read", "name a file that this user may read"}});
   std::ostringstream text;
   text << file.rdbuf();
   return parse(text.str(), path);
@@ -81,7 +82,7 @@
   if (sealer.keys_.empty() && faults.empty())
     faults.push_back(
         {file, 1, "the file holds no key", "write NAME and the output of 'openssl rand -hex 32'"});
-  if (!faults.empty()) throw config::Faults(std::move(faults));
+  if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return sealer;
 }
 
--- a/src/resume/seal.h
+++ b/src/resume/seal.h
@@ -18,7 +18,7 @@
   static Sealer parse(std::string_view text, const std::string& file);
 
   Sealer() = default;  // has no key: seals nothing
-  bool able() const { return !keys_.empty(); }
+  bool hasKey() const { return !keys_.empty(); }
 
   // Alike texts are sealed unlike. Throws std::runtime_error where the system has no randomness.
   std::string seal(std::string_view text) const;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -2,7 +2,7 @@
 // its name.
 #include <gtest/gtest.h>
 
-#include "config/in_service.h"
+#include "config/reload.h"
 #include "config/settings.h"
 
 namespace gannetcourse::config {
@@ -25,8 +25,8 @@
 std::vector<Fault> faultsOf(const std::string& text) {
   try {
     parseSettings(text, "node.xml");
-  } catch (const Faults& faults) {
-    return faults.list();
+  } catch (const InvalidFile& faults) {
+    return faults.faults();
   }
   return {};
 }
@@ -70,7 +70,7 @@
   EXPECT_EQ(fault.file, "node.xml");
   EXPECT_EQ(fault.line, GetParam().line) << fault.text();
   EXPECT_NE(fault.text().find(GetParam().says), std::string::npos) << fault.text();
-  EXPECT_FALSE(fault.mend.empty()) << fault.text();
+  EXPECT_FALSE(fault.remedy.empty()) << fault.text();
   EXPECT_EQ(fault.text().find('\n'), std::string::npos) << "one line";
 }
 
@@ -121,7 +121,7 @@
   try {
     loadSettings("/nowhere/node.xml");
     FAIL() << "a file that is not there was read";
-  } catch (const Faults& faults) {
+  } catch (const InvalidFile& faults) {
     EXPECT_NE(std::string(faults.what()).find("/nowhere/node.xml"), std::string::npos);
   }
 }
@@ -132,13 +132,13 @@
       "<classes><class name='query' aim='1s' token-aim='60ms' first-token-within='6s' worth='3'/></classes>";
   after.rest = "<log level='debug'/>";
   const NodeSettings a = parseSettings(before.text(), "a"), b = parseSettings(after.text(), "b");
-  const auto lines = differences(a, b);
+  const auto lines = describeDifferences(a, b);
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[0], "log level: info -> debug");
   EXPECT_EQ(lines[1], "class query first-token-within: 4s -> 6s");
-  EXPECT_EQ(fixedDifference(a, b), "");
+  EXPECT_EQ(firstRestartOnlyDifference(a, b), "");
   after.rest = "<limits answer-margin='90ms'/>";
-  EXPECT_EQ(fixedDifference(a, parseSettings(after.text(), "b")), "limits answer-margin");
+  EXPECT_EQ(firstRestartOnlyDifference(a, parseSettings(after.text(), "b")), "limits answer-margin");
 }
 
 // Classes keep their places for as long as the node runs; a class that changes gets a new one, and its old
@@ -149,18 +149,18 @@
       "<classes><class name='order' aim='2s' effect='unsafe'/>"
       "<class name='query' aim='3s' token-aim='60ms' first-token-within='6s'/></classes>";
   const NodeSettings a = parseSettings(one.text(), "a"), b = parseSettings(two.text(), "b");
-  const NodeSettings moved = carriedOver(a, b);
+  const NodeSettings moved = mergeForReload(a, b);
   ASSERT_EQ(moved.classes.size(), a.classes.size() + 2);
-  EXPECT_EQ(classInService(moved, "order"), a.classes.size());
-  EXPECT_EQ(classInService(moved, "query"), a.classes.size() + 1);
+  EXPECT_EQ(findClassInService(moved, "order"), a.classes.size());
+  EXPECT_EQ(findClassInService(moved, "query"), a.classes.size() + 1);
   EXPECT_FALSE(moved.policy.classes[0].inService);
   EXPECT_EQ(moved.policy.classes[0].ttftObjective, a.policy.classes[0].ttftObjective);
-  const NodeSettings back = carriedOver(moved, a);
+  const NodeSettings back = mergeForReload(moved, a);
   EXPECT_EQ(back.classes.size(), moved.classes.size()) << "the way back takes no new place";
-  EXPECT_EQ(classInService(back, "query"), 0u);
-  EXPECT_FALSE(classInService(back, "order"));
-  EXPECT_EQ(fixedDifference(a, b), "") << "classes change in service";
-  const auto lines = differences(a, b);
+  EXPECT_EQ(findClassInService(back, "query"), 0u);
+  EXPECT_FALSE(findClassInService(back, "order"));
+  EXPECT_EQ(firstRestartOnlyDifference(a, b), "") << "classes change in service";
+  const auto lines = describeDifferences(a, b);
   ASSERT_FALSE(lines.empty());
   EXPECT_NE(lines[0].find("order (aim 2s"), std::string::npos) << lines[0];
   EXPECT_NE(lines[0].find("unsafe"), std::string::npos) << lines[0];
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -137,7 +137,7 @@
 
   void start(const std::string& fleet, const std::string& extra = "", const std::string& life = "t") {
     Node::Hooks hooks;
-    hooks.record = [this](const router::Record& record) { records.push_back(record); };
+    hooks.onRecord = [this](const router::Record& record) { records.push_back(record); };
     hooks.log = [this](const std::string&, const std::string&, const std::string& text) {
       logged.push_back(text);
     };
@@ -422,7 +422,7 @@
 TEST_F(NodeTest, ABrokenReloadChangesNothing) {
   startWithPair();
   std::ofstream(folder / "fleet.xml") << "<fleet xmlns='urn:gannetcourse:fleet:1'><engine id='1'/></fleet>";
-  EXPECT_THROW(node->reload(node->settings()), config::Faults);
+  EXPECT_THROW(node->reload(node->settings()), config::InvalidFile);
   config::NodeSettings other = node->settings();
   other.name = "n2";
   EXPECT_THROW(node->reload(other), std::invalid_argument);
@@ -566,7 +566,7 @@
 TEST_F(NodeTest, AMoveThatCannotBeTakenInServiceChangesNothing) {
   startWithPair();
   const std::string fleet = "<fleet file='" + (folder / "nowhere.xml").string() + "'/>";
-  EXPECT_THROW(node->reload(config::parseSettings(movedText(fleet), "moved.xml")), config::Faults);
+  EXPECT_THROW(node->reload(config::parseSettings(movedText(fleet), "moved.xml")), config::InvalidFile);
   EXPECT_EQ(node->settings().classes.size(), 2u);
   EXPECT_EQ(node->settings().policy.routerCount, 1);
   const auto asked = ask();
@@ -702,12 +702,12 @@
   }
   start("<fleet registry='127.0.0.1:" + std::to_string(port) + "'/>");
   settle();
-  EXPECT_EQ(node->engines(), 0u);
+  EXPECT_EQ(node->engineCount(), 0u);
   ScriptedRegistry registry(loop, port);
   registry.first.set_full(true);
   ScriptedRegistry::add(registry.first, reader, v1::EngineEntry::PREFILL);
   ScriptedRegistry::add(registry.first, writer, v1::EngineEntry::DECODE);
-  ASSERT_TRUE(until([&] { return node->engines() == 2; }));
+  ASSERT_TRUE(until([&] { return node->engineCount() == 2; }));
   const auto asked = ask();
   ASSERT_TRUE(until([&] { return asked->end.has_value(); }));
   EXPECT_TRUE(asked->ended(grpc::Code::kOk));
@@ -732,7 +732,7 @@
   ScriptedRegistry::add(registry.first, writer, v1::EngineEntry::DECODE);
   ScriptedRegistry::add(registry.first, other, v1::EngineEntry::DECODE);
   start("<fleet registry='127.0.0.1:" + std::to_string(registry.server.port()) + "'/>");
-  ASSERT_TRUE(until([&] { return node->engines() == 3; }));
+  ASSERT_TRUE(until([&] { return node->engineCount() == 3; }));
   v1::EngineList change;
   ScriptedRegistry::add(change, writer, v1::EngineEntry::DECODE, v1::EngineEntry::DRAINING);
   registry.watch->send(change.SerializeAsString());
@@ -755,7 +755,7 @@
   const std::string fleet =
       "<fleet registry='127.0.0.1:" + std::to_string(registry.server.port()) + "' saved='" + saved + "'/>";
   start(fleet);
-  ASSERT_TRUE(until([&] { return node->engines() == 2; }));
+  ASSERT_TRUE(until([&] { return node->engineCount() == 2; }));
   registry.server.abortAll();
   settle(0.1);
   const auto asked = ask();
@@ -767,7 +767,7 @@
   node.reset();
   registry.server.refuse(true);
   start(fleet);
-  EXPECT_EQ(node->engines(), 2u);
+  EXPECT_EQ(node->engineCount(), 2u);
   const auto again = ask();
   ASSERT_TRUE(until([&] { return again->end.has_value(); }));
   EXPECT_TRUE(again->ended(grpc::Code::kOk));
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -49,12 +49,12 @@
     try {
       Sealer::parse(text, "keys");
       ADD_FAILURE() << why;
-    } catch (const config::Faults& faults) {
-      ASSERT_EQ(faults.list().size(), 1u);
-      EXPECT_EQ(faults.list().front().text().find(why), 0u) << faults.list().front().text();
+    } catch (const config::InvalidFile& faults) {
+      ASSERT_EQ(faults.faults().size(), 1u);
+      EXPECT_EQ(faults.faults().front().text().find(why), 0u) << faults.faults().front().text();
     }
   }
-  EXPECT_THROW(Sealer::load("/nowhere/keys"), config::Faults);
+  EXPECT_THROW(Sealer::load("/nowhere/keys"), config::InvalidFile);
 }
 
 }  // namespace
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -198,7 +198,7 @@
     fail(fault.call, fault.error);
     std::uint64_t failures = 0;
     {
-      discovery::SavedList list(path);
+      discovery::EngineListCache list(path);
       list.save("after, and longer than before");
       for (int i = 0; i < 2000 && (failures = list.failures()) == 0; ++i) usleep(1000);
     }
@@ -206,7 +206,7 @@
     EXPECT_EQ(failures, 1U) << fault.error;
     EXPECT_EQ(saved(), "before") << fault.error;
   }
-  { discovery::SavedList(path).save("after"); }
+  { discovery::EngineListCache(path).save("after"); }
   EXPECT_EQ(saved(), "after");
   std::filesystem::remove(path);
   std::filesystem::remove(path.string() + ".new");
