--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -3,6 +3,7 @@
 
 #include <map>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "config/xml.h"
@@ -11,48 +12,53 @@
 
 namespace gannetcourse::config {
 
+/// What a request of one class may ask for. Its objectives stand in gannetcourse::ClassSettings.
 struct ClassLimits {
   std::string name;
-  Duration firstTokenTimeout{0};  // the most that a request waits for its first token; 0 = until its deadline
+  Duration firstTokenTimeout{0};  ///< The longest wait for a first token; 0 = until the request's deadline.
   std::uint32_t maxPromptTokens = 32768;
   std::uint32_t maxOutputTokens = 1024;
 };
 
+/// All settings of one node. A value type: a reload makes a new one.
 struct NodeSettings {
   std::string name, zone;
-  Settings policy;                   // what the decision module is told
-  std::vector<ClassLimits> classes;  // in the order of policy.classes
-  std::vector<std::string> tenants;  // in the order of policy.tenants
-  std::vector<std::string> zones;
-  Duration responseMargin{0.06};  // running streams end this long before the client's time is up
-  Duration drainGrace{1};
-  Duration maxDeadline{600};
+  Settings policy;                   ///< For the decision module.
+  std::vector<ClassLimits> classes;  ///< In the order of policy.classes.
+  std::vector<std::string> tenants;  ///< In the order of policy.tenants.
+  std::vector<std::string> zones;    ///< A zone's place here is its number in the policy.
+  Duration responseMargin{0.06};     ///< Running streams end this long before the client's deadline.
+  Duration drainGrace{1};            ///< Within this of its notice a draining engine still accepts calls.
+  Duration maxDeadline{600};         ///< Longer deadlines of clients are cut to this.
 
   std::string listenAddress = "127.0.0.1:0";
-  std::uint32_t maxConnections = 20000,
-                maxStreamsPerConnection = 1000;  // of clients; streams of one connection
-  std::uint64_t maxMessageBytes = 4 << 20, maxMetadataBytes = 16 << 10;
-  std::uint64_t streamBufferBytes =
-      32 << 10;  // bytes of an answer that wait for a slow client before its engine does
+  std::uint32_t maxConnections = 20000;  ///< Of clients, at one time.
+  std::uint32_t maxStreamsPerConnection = 1000;
+  std::uint64_t maxMessageBytes = 4 << 20;
+  std::uint64_t maxMetadataBytes = 16 << 10;
+  std::uint64_t streamBufferBytes = 32 << 10;  ///< Buffered for a slow client before its engine is paused.
 
-  Duration connectTimeout{0.25}, keepaliveInterval{5}, keepaliveTimeout{2};
+  Duration connectTimeout{0.25};  ///< For a connection to an engine.
+  Duration keepaliveInterval{5}, keepaliveTimeout{2};
   std::uint32_t maxConnectionsPerEngine = 4;
-  recovery::Limits recovery;  // of streams whose writer is lost
+  recovery::Limits recovery;  ///< For streams whose decode engine is lost.
 
-  std::string resumeKeyFile;  // path of the key file for resume tokens; empty: none are given or taken
-  std::string registryAddress, engineListFile, engineListCacheFile;  // address; paths. Empty: none
-  std::string logLevel = "info", logFile;                            // empty: standard error
+  std::string resumeKeyFile;        ///< Path of the keys for resume tokens; empty = no resume tokens.
+  std::string registryAddress;      ///< Source of the engine list; empty = engineListFile is.
+  std::string engineListFile;       ///< Path; empty = the registry is the source.
+  std::string engineListCacheFile;  ///< Path of the copy for the next start; empty = none.
+  std::string logLevel = "info";
+  std::string logFile;  ///< Path; empty = standard error.
   std::map<std::string, std::string> packageLogLevels;
 };
 
-// Throws Faults; each fault names file, line and mend, and the rule that it would break, if any.
+/// Reads and checks a settings file. Throws InvalidFile; each fault names file, line and remedy, and the rule
+/// that it would break, if any.
 NodeSettings loadSettings(const std::string& path);
+/// The same for text; `name` stands for the file in faults.
 NodeSettings parseSettings(std::string_view text, const std::string& name);
-// What differs, a line each: "limits max-attempts: 4 -> 6".
-std::vector<std::string> describeDifferences(const NodeSettings& before, const NodeSettings& after);
-// The settings that a running node cannot change: the first that differs, or an empty string.
-std::string firstRestartOnlyDifference(const NodeSettings& before, const NodeSettings& after);
 
+/// The built-in XML schema of settings files.
 std::string_view settingsSchema();
 
 }  // namespace gannetcourse::config
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "config/reload.h"
+#include "config/settings_difference.h"
 #include "frontend/chat_service.h"
 
 namespace gannetcourse::node {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -4,6 +4,7 @@
 
 #include "config/reload.h"
 #include "config/settings.h"
+#include "config/settings_difference.h"
 
 namespace gannetcourse::config {
 namespace {
