--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -26,7 +26,7 @@
 gannetcourse_component(http2 SOURCES src/http2/session.cpp LINK gannetcourse_net PkgConfig::NGHTTP2)
 gannetcourse_component(grpc SOURCES src/grpc/protocol.cpp src/grpc/server.cpp src/grpc/channel.cpp
                   LINK gannetcourse_http2)
-gannetcourse_component(config SOURCES src/config/xml.cpp src/config/settings.cpp src/config/settings_reader.cpp
+gannetcourse_component(config SOURCES src/config/fault.cpp src/config/units.cpp src/config/xml.cpp src/config/settings.cpp src/config/settings_reader.cpp
                           src/config/settings_rules.cpp src/config/settings_difference.cpp src/config/reload.cpp
                   LINK gannetcourse_net LibXml2::LibXml2)
 gannetcourse_component(resume SOURCES src/resume/seal.cpp LINK gannetcourse_config OpenSSL::Crypto)
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -6,60 +6,71 @@
 namespace gannetcourse::config {
 namespace {
 
-// Whether requests of one may be finished under the other; what only the checks of new ones read may differ.
-bool sameRules(ClassSettings a, const ClassSettings& b) {
+// Whether requests of one may be finished under the other; ClassLimits may differ, as only the checks of new
+// requests read them.
+bool haveSameObjectives(ClassSettings a, const ClassSettings& b) {
   a.inService = b.inService;
   return a == b;
 }
 
-void carryClasses(const NodeSettings& running, NodeSettings& fresh) {
+std::size_t indexOf(const std::vector<std::string>& names, const std::string& name) {
+  return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
+}
+
+// Two classes of one name never take the same index: the first to come has put it in service.
+void mergeClasses(const NodeSettings& running, NodeSettings& fresh) {
   std::vector<ClassSettings> classes = running.policy.classes;
   std::vector<ClassLimits> limits = running.classes;
-  for (ClassSettings& c : classes) c.inService = false;
+  for (ClassSettings& settings : classes) settings.inService = false;
   for (std::size_t i = 0; i < fresh.classes.size(); ++i) {
-    std::size_t at = 0;
-    while (at < classes.size() && (classes[at].inService || limits[at].name != fresh.classes[i].name ||
-                                   !sameRules(classes[at], fresh.policy.classes[i])))
-      ++at;
-    if (at == classes.size()) {
+    std::size_t index = 0;
+    const auto isEarlier = [&](std::size_t at) {
+      return !classes[at].inService && limits[at].name == fresh.classes[i].name &&
+             haveSameObjectives(classes[at], fresh.policy.classes[i]);
+    };
+    while (index < classes.size() && !isEarlier(index)) ++index;
+    if (index == classes.size()) {
       classes.emplace_back();
       limits.emplace_back();
     }
-    classes[at] = fresh.policy.classes[i];
-    limits[at] = fresh.classes[i];
+    classes[index] = fresh.policy.classes[i];
+    limits[index] = fresh.classes[i];
   }
   fresh.policy.classes = std::move(classes);
   fresh.classes = std::move(limits);
 }
 
-void carryTenants(const NodeSettings& running, NodeSettings& fresh) {
+void mergeTenants(const NodeSettings& running, NodeSettings& fresh) {
   std::vector<TenantSettings> tenants = running.policy.tenants;
   std::vector<std::string> names = running.tenants;
-  for (TenantSettings& t : tenants) t.inService = false;
+  for (TenantSettings& tenant : tenants) tenant.inService = false;
   for (std::size_t i = 0; i < fresh.tenants.size(); ++i) {
-    const auto at =
-        static_cast<std::size_t>(std::find(names.begin(), names.end(), fresh.tenants[i]) - names.begin());
-    if (at == names.size()) {
+    const std::size_t index = indexOf(names, fresh.tenants[i]);
+    if (index == names.size()) {
       names.push_back(fresh.tenants[i]);
       tenants.emplace_back();
     }
-    tenants[at] = fresh.policy.tenants[i];
+    tenants[index] = fresh.policy.tenants[i];
   }
   fresh.policy.tenants = std::move(tenants);
   fresh.tenants = std::move(names);
 }
 
-}  // namespace
-
-NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh) {
-  carryClasses(running, fresh);
-  carryTenants(running, fresh);
+void mergeZones(const NodeSettings& running, NodeSettings& fresh) {
   std::vector<std::string> zones = running.zones;
   for (const std::string& zone : fresh.zones) {
-    if (std::find(zones.begin(), zones.end(), zone) == zones.end()) zones.push_back(zone);
+    if (indexOf(zones, zone) == zones.size()) zones.push_back(zone);
   }
   fresh.zones = std::move(zones);
-  fresh.policy.zone = running.policy.zone;  // a running node stays where it is
+  fresh.policy.zone = running.policy.zone;  // a running node's own zone is fixed
+}
+
+}  // namespace
+
+NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh) {
+  mergeClasses(running, fresh);
+  mergeTenants(running, fresh);
+  mergeZones(running, fresh);
   fresh.policy.seed = running.policy.seed;
   return fresh;
 }
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -8,14 +8,14 @@
 
 namespace gannetcourse::config {
 
-// The fresh settings with classes, tenants and zones at places that never change their meaning while the node
-// runs: requests that it has taken are finished under the class that they came with. What is the same as at a
-// place of `running` keeps that place; what is new or differs comes after them; what `fresh` no longer has
-// stays out of service. So the way back, a reload of the old file, finds the old places. Each reload that
-// changes a class adds a place until the next start.
+/// The fresh settings with classes, tenants and zones at indices whose meaning never changes while the node
+/// runs: accepted requests are finished under the class that they came with. An entry equal to one of
+/// `running` keeps its index; new or different ones are appended; entries that `fresh` lacks stay, out of
+/// service. So a reload of an earlier file finds the earlier indices. Each reload that changes a class adds
+/// an index until the next start.
 NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh);
 
-// The place of a class or tenant that requests may name; absent: it is not in service.
+/// The index of the class or tenant that requests may name; absent: it is not in service.
 std::optional<std::size_t> findClassInService(const NodeSettings& settings, std::string_view name);
 std::optional<std::size_t> findTenantInService(const NodeSettings& settings, std::string_view name);
 
