--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -32,10 +32,11 @@
 gannetcourse_component(resume SOURCES src/resume/seal.cpp LINK gannetcourse_config OpenSSL::Crypto)
 gannetcourse_schema(gannetcourse_config ${PROJECT_SOURCE_DIR}/src/config/settings.xsd gannetcourse::config
                     settingsSchema)
-gannetcourse_component(discovery SOURCES src/discovery/engine_list.cpp src/discovery/registry_watch.cpp
+gannetcourse_component(discovery SOURCES src/discovery/engine_list.cpp src/discovery/engine_list_file.cpp
+                          src/discovery/engine_list_cache.cpp src/discovery/registry_watch.cpp
                   LINK gannetcourse_grpc gannetcourse_config gannetcourse_proto)
 gannetcourse_schema(gannetcourse_discovery ${PROJECT_SOURCE_DIR}/src/discovery/fleet.xsd gannetcourse::discovery
-                    fleetSchema)
+                    engineListSchema)
 gannetcourse_component(engines SOURCES src/engines/grpc_engine_transport.cpp LINK gannetcourse_router gannetcourse_discovery)
 gannetcourse_component(frontend SOURCES src/frontend/chat_service.cpp src/frontend/health_service.cpp
                   LINK gannetcourse_router gannetcourse_grpc gannetcourse_resume gannetcourse_proto
--- a/src/discovery/engine_list.h
+++ b/src/discovery/engine_list.h
@@ -1,12 +1,9 @@
-// The list of engines as the node's sources tell it: a file, a registry's stream, the list saved last.
+// The engine list as the node's sources give it, and its translation into the decision module's numbers.
 #pragma once
 
 #include <cstdint>
-#include <functional>
-#include <memory>
 #include <optional>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "gannetcourse/policy.h"
@@ -14,15 +11,17 @@
 
 namespace gannetcourse::discovery {
 
+/// One engine with all that its source gives of it.
 struct Engine {
   EngineEntry entry;
   net::Endpoint address;
   std::string zone;
-  std::int64_t startedUnixMs = 0;   // 0 = long ago
-  std::int64_t shutdownUnixMs = 0;  // 0 = not known, or not at all
-  std::optional<Instant> shutdownAt;
+  std::int64_t startedUnixMs = 0;     ///< 0 = long ago.
+  std::int64_t shutdownUnixMs = 0;    ///< 0 = no shutdown is announced.
+  std::optional<Instant> shutdownAt;  ///< The same on the router's clock; see EntryResolver.
 };
 
+/// One message of a source: the whole list, or its changes.
 struct EngineList {
   EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot;
   std::uint64_t version = 0;
@@ -30,50 +29,39 @@
   EngineListUpdate toPolicyUpdate() const;
 };
 
-// Turns names and wall-clock times into the module's numbers, always alike within one process.
+/// Translates zone names and wall-clock times into the decision module's numbers, always alike within one
+/// process. Not thread-safe.
 class EntryResolver {
  public:
+  /// `now` and `unixMsNow` are the same moment on both clocks.
   EntryResolver(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow);
-  void setZones(std::vector<std::string> zones) {
-    zones_ = std::move(zones);
-  }                                                         // those of before at their places
-  std::uint32_t zoneNumber(const std::string& name) const;  // an unknown zone is apart from all others
-  std::optional<Instant> toInstant(std::int64_t unixMs) const { return clock_.instant(unixMs); }  // 0 = none
-  void resolve(Engine& engine) const;  // fills in what the names and times stand for
+
+  /// For a reload: earlier zones stand at their earlier indices, new ones after them.
+  void setZones(std::vector<std::string> zones) { zones_ = std::move(zones); }
+
+  /// The zone's number. Unknown zones share one that no known zone has.
+  std::uint32_t zoneNumber(const std::string& name) const;
+  /// A wall-clock time on the router's clock; nothing for 0.
+  std::optional<Instant> toInstant(std::int64_t unixMs) const { return clock_.instant(unixMs); }
+  /// Fills in the zone's number and the instants of an engine.
+  void resolve(Engine& engine) const;
 
  private:
   std::vector<std::string> zones_;
   net::WallClock clock_;
 };
 
-// A fleet file: <fleet xmlns="urn:gannetcourse:fleet:1"> of <engine .../>. Throws config::Faults.
-EngineList loadEngineListFile(const std::string& path, const EntryResolver& translator);
-std::string formatEngineList(const EngineList& list);
-std::string_view fleetSchema();
-
-// Keeps the whole list out of full lists and changes.
+/// The current engines, kept up to date from snapshots and deltas.
 class EngineListState {
  public:
   void apply(const EngineList& list);
+  /// By ascending id, without removed ones.
   const std::vector<Engine>& engines() const { return engines_; }
 
  private:
-  std::vector<Engine> engines_;  // by id, without those that are gone
-};
+  void applyEntry(const Engine& engine);
 
-// Writes the newest of the texts it is given to a file, by a thread of its own: a slow disk delays nobody.
-class EngineListCache {
- public:
-  explicit EngineListCache(std::string path);  // empty: writes nothing
-  ~EngineListCache();                          // writes what is due
-  EngineListCache(const EngineListCache&) = delete;
-  EngineListCache& operator=(const EngineListCache&) = delete;
-  void save(std::string text);
-  std::uint64_t failures() const;
-
- private:
-  class Writer;
-  std::unique_ptr<Writer> writer_;
+  std::vector<Engine> engines_;
 };
 
 }  // namespace gannetcourse::discovery
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -29,14 +29,35 @@
   }
 }
 
+Engine toEngine(const v1::EngineEntry& message, const EntryResolver& resolver) {
+  Engine engine;
+  engine.entry.id = {message.id()};
+  engine.entry.role = roleOf(message.role());
+  engine.entry.cell = message.cell();
+  engine.entry.memoryTokens = message.memory_tokens();
+  engine.entry.state = stateOf(message.state());
+  engine.zone = message.zone();
+  engine.startedUnixMs = message.started_unix_ms();
+  engine.shutdownUnixMs = message.leaves_unix_ms();
+  const auto address = net::parseEndpoint(message.address());
+  if (address) {
+    engine.address = *address;
+  } else {
+    // Nothing can be sent to an engine without a usable address.
+    engine.entry.state = EngineEntry::State::kRemoved;
+  }
+  resolver.resolve(engine);
+  return engine;
+}
+
 }  // namespace
 
 RegistryWatch::RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
-                             const EntryResolver& translator, const grpc::ChannelOptions& options,
-                             UpdateHandler tell)
+                             const EntryResolver& resolver, const grpc::ChannelOptions& options,
+                             UpdateHandler onUpdate)
     : node_(std::move(node)),
-      resolver_(translator),
-      onUpdate_(std::move(tell)),
+      resolver_(resolver),
+      onUpdate_(std::move(onUpdate)),
       channel_(loop, registry, options) {}
 
 RegistryWatch::~RegistryWatch() {
@@ -52,41 +73,25 @@
   request.set_node(node_);
   watch_ = channel_.start("/gannetcourse.v1.Registry/Watch", request.SerializeAsString());
   watch_->onMessage = [this](std::string_view message) { onMessage(message); };
-  watch_->onEnd = [this](const grpc::CallEnd&) {
-    watch_.reset();
-    onUpdate_({EngineListUpdate::Scope::kFetchFailed, 0, {}});
-  };
+  watch_->onEnd = [this](const grpc::CallEnd&) { onEnd(); };
 }
 
 void RegistryWatch::onMessage(std::string_view message) {
-  v1::EngineList told;
-  if (!told.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
+  v1::EngineList received;
+  if (!received.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
     watch_->cancel();
     return;
   }
   EngineList list;
-  list.scope = told.full() ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
-  list.version = told.version();
-  for (const v1::EngineEntry& e : told.entries()) {
-    Engine engine;
-    engine.entry.id = {e.id()};
-    engine.entry.role = roleOf(e.role());
-    engine.entry.cell = e.cell();
-    engine.entry.memoryTokens = e.memory_tokens();
-    engine.entry.state = stateOf(e.state());
-    engine.zone = e.zone();
-    engine.startedUnixMs = e.started_unix_ms();
-    engine.shutdownUnixMs = e.leaves_unix_ms();
-    const auto address = net::parseEndpoint(e.address());
-    // An engine without a usable address can be sent nothing: it counts as gone.
-    if (address)
-      engine.address = *address;
-    else
-      engine.entry.state = EngineEntry::State::kRemoved;
-    resolver_.resolve(engine);
-    list.engines.push_back(std::move(engine));
-  }
+  list.scope = received.full() ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
+  list.version = received.version();
+  for (const v1::EngineEntry& entry : received.entries()) list.engines.push_back(toEngine(entry, resolver_));
   onUpdate_(std::move(list));
 }
 
+void RegistryWatch::onEnd() {
+  watch_.reset();
+  onUpdate_({EngineListUpdate::Scope::kFetchFailed, 0, {}});
+}
+
 }  // namespace gannetcourse::discovery
--- a/src/discovery/registry_watch.h
+++ b/src/discovery/registry_watch.h
@@ -1,4 +1,4 @@
-// The client of a registry that streams the list of engines. When to ask again is the module's decision.
+// The client of a registry that streams the engine list.
 #pragma once
 
 #include <functional>
@@ -10,20 +10,25 @@
 
 namespace gannetcourse::discovery {
 
+/// One watch at a time of one registry. When to subscribe again is the decision module's choice.
 class RegistryWatch {
  public:
-  using UpdateHandler =
-      std::function<void(EngineList list)>;  // scope kFailed: the call failed or its stream ended
+  /// Receives each message of the watch; scope kFetchFailed: it could not be opened or has ended.
+  using UpdateHandler = std::function<void(EngineList list)>;
+
+  /// `node` is the name that the registry sees. The loop and the resolver must outlive the watch.
   RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
-                const EntryResolver& translator, const grpc::ChannelOptions& options, UpdateHandler tell);
+                const EntryResolver& resolver, const grpc::ChannelOptions& options, UpdateHandler onUpdate);
   ~RegistryWatch();
   RegistryWatch(const RegistryWatch&) = delete;
   RegistryWatch& operator=(const RegistryWatch&) = delete;
 
-  void subscribe();  // a watch that stands is ended first
+  /// Opens a watch; an open one is cancelled first, without an update.
+  void subscribe();
 
  private:
   void onMessage(std::string_view message);
+  void onEnd();
 
   std::string node_;
   const EntryResolver& resolver_;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -8,6 +8,8 @@
 #include <vector>
 
 #include "config/settings.h"
+#include "discovery/engine_list_cache.h"
+#include "discovery/engine_list_file.h"
 #include "discovery/registry_watch.h"
 #include "engines/grpc_engine_transport.h"
 #include "frontend/health_service.h"
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -2,7 +2,8 @@
 // engine that is blamed for it.
 #include <cerrno>
 
-#include "discovery/engine_list.h"
+#include "discovery/engine_list_cache.h"
+#include "discovery/engine_list_file.h"
 #include "fault_shim.h"
 #include "http1/client.h"
 #include "stepped_time.h"
