--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -37,7 +37,7 @@
                   LINK gannetcourse_grpc gannetcourse_config gannetcourse_proto)
 gannetcourse_schema(gannetcourse_discovery ${PROJECT_SOURCE_DIR}/src/discovery/fleet.xsd gannetcourse::discovery
                     engineListSchema)
-gannetcourse_component(engines SOURCES src/engines/grpc_engine_transport.cpp LINK gannetcourse_router gannetcourse_discovery)
+gannetcourse_component(engines SOURCES src/engines/grpc_engine_transport.cpp src/engines/call_outcome.cpp LINK gannetcourse_router gannetcourse_discovery)
 gannetcourse_component(frontend SOURCES src/frontend/chat_service.cpp src/frontend/health_service.cpp
                   LINK gannetcourse_router gannetcourse_grpc gannetcourse_resume gannetcourse_proto
                        PkgConfig::XXHASH)
--- a/src/engines/grpc_engine_transport.cpp
+++ b/src/engines/grpc_engine_transport.cpp
@@ -2,25 +2,28 @@
 
 #include <utility>
 
+#include "engines/call_outcome.h"
 #include "gannetcourse/v1/engine.pb.h"
 
 namespace gannetcourse::engines {
 namespace {
 
-const Duration kSmallCall{1};                        // reservations and fences that take longer are given up
-const Duration kReleaseAnswer{0.5};                  // a release that takes longer is sent again
-const Duration kReleaseAgain{0.1};                   // after one that was not taken
-const Duration kReleaseWithin{5};                    // one that was not taken by then is given up
-constexpr std::size_t kMostReleasesThatWait = 4096;  // to be sent again; past it they are given up
+const Duration kAuxiliaryCallTimeout{1};  // for reservations, fences and probes
+const Duration kReleaseTimeout{0.5};      // for one attempt at a release
+const Duration kReleaseRetryDelay{0.1};
+const Duration kReleaseRetryLimit{5};  // after this a release is given up
+constexpr std::size_t kMaxReleasesAwaitingRetry = 4096;
 
-std::optional<LoadReport> loadOf(bool present, const v1::LoadReport& told) {
+constexpr const char* kNoAddress = "engine has no address";
+
+std::optional<LoadReport> loadOf(bool present, const v1::LoadReport& message) {
   if (!present) return std::nullopt;
   LoadReport load;
-  if (told.has_in_hand()) load.requestsInFlight = told.in_hand();
-  if (told.has_queued()) load.requestsQueued = told.queued();
-  if (told.has_busy_share()) load.slotUtilization = told.busy_share();
-  if (told.has_memory_share()) load.memoryUtilization = told.memory_share();
-  if (told.has_waiting_tokens()) load.queuedPrefillTokens = told.waiting_tokens();
+  if (message.has_in_hand()) load.requestsInFlight = message.in_hand();
+  if (message.has_queued()) load.requestsQueued = message.queued();
+  if (message.has_busy_share()) load.slotUtilization = message.busy_share();
+  if (message.has_memory_share()) load.memoryUtilization = message.memory_share();
+  if (message.has_waiting_tokens()) load.queuedPrefillTokens = message.waiting_tokens();
   return load;
 }
 
@@ -29,103 +32,84 @@
   return message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
-void setName(v1::AttemptName* name, const std::string& id, int attempt, const std::string& node) {
-  name->set_request(id);
+void setAttempt(v1::AttemptName* name, const std::string& request, int attempt, const std::string& node) {
+  name->set_request(request);
   name->set_attempt(static_cast<std::uint32_t>(attempt));
   name->set_node(node);
 }
 
-}  // namespace
-
-Outcome outcomeOf(const grpc::CallEnd& end) {
-  switch (end.kind) {
-    case grpc::CallEnd::Kind::kNotSent:
-      return Outcome::kConnectFailed;
-    case grpc::CallEnd::Kind::kRefusedStream:
-      return Outcome::kRejected;
-    case grpc::CallEnd::Kind::kConnectionLost:
-    case grpc::CallEnd::Kind::kAbandoned:
-    case grpc::CallEnd::Kind::kReset:
-      return Outcome::kReset;
-    case grpc::CallEnd::Kind::kCancelled:
-      return Outcome::kCancelled;
-    case grpc::CallEnd::Kind::kMalformed:
-      return Outcome::kError;
-    case grpc::CallEnd::Kind::kStatus:
-      break;
-  }
-  switch (end.status.code) {
-    case grpc::Code::kOk:
-      return Outcome::kOk;
-    case grpc::Code::kResourceExhausted:
-    case grpc::Code::kFailedPrecondition:
-      return Outcome::kRejected;
-    case grpc::Code::kNotFound:
-      return Outcome::kStateLost;
-    case grpc::Code::kDeadlineExceeded:
-      return Outcome::kTimeout;
-    default:
-      return Outcome::kError;
-  }
+std::string reasonOf(Outcome outcome, const grpc::Status& status) {
+  if (outcome == Outcome::kOk) return {};
+  return std::string(grpc::nameOf(status.code)) + ": " + status.message;
 }
 
-// Whether the engine itself has ended the call, by word or by ending the connection that it was on.
-recovery::AttemptEnd attemptEndOf(const grpc::CallEnd& end) {
-  switch (end.kind) {
-    case grpc::CallEnd::Kind::kAbandoned:
-    case grpc::CallEnd::Kind::kMalformed:
-    case grpc::CallEnd::Kind::kCancelled:
-      return recovery::AttemptEnd::kAbandoned;
-    default:
-      return recovery::AttemptEnd::kConfirmed;
-  }
+// A probe is cancelled by its own time-out alone.
+Outcome probeOutcomeOf(const grpc::CallEnd& end) {
+  const Outcome outcome = outcomeOf(end);
+  return outcome == Outcome::kCancelled ? Outcome::kTimeout : outcome;
 }
 
-GrpcEngineTransport::GrpcEngineTransport(net::Loop& loop, std::string node, Duration lease,
-                                         const grpc::ChannelOptions& options, EngineEventHandler& sink)
+}  // namespace
+
+GrpcEngineTransport::GrpcEngineTransport(net::Loop& loop, std::string nodeName, Duration lease,
+                                         const grpc::ChannelOptions& options, EngineEventHandler& handler)
     : loop_(loop),
-      node_(std::move(node)),
+      nodeName_(std::move(nodeName)),
       leaseMs_(static_cast<std::uint32_t>(lease.count() * 1000)),
       options_(options),
-      handler_(sink),
+      handler_(handler),
       decodeToken_(std::make_unique<v1::DecodeToken>()) {}
 
 GrpcEngineTransport::~GrpcEngineTransport() {
   *alive_ = false;
-  for (auto& [id, small] : auxiliaryCalls_) loop_.cancelTimer(small.timer);
+  for (auto& [key, call] : auxiliaryCalls_) loop_.cancelTimer(call.timeout);
 }
 
+// ---- Engines and their connections ----
 void GrpcEngineTransport::updateEngines(const discovery::EngineList& list) {
   if (list.scope == EngineListUpdate::Scope::kFetchFailed) return;
   if (list.scope != EngineListUpdate::Scope::kDelta) {
     for (auto& [id, engine] : engines_) engine.removed = true;
   }
-  for (const discovery::Engine& told : list.engines) {
-    Engine& engine = engines_[told.entry.id];
-    engine.removed = told.entry.state == EngineEntry::State::kRemoved;
-    if (engine.removed || (engine.channel && engine.address == told.address)) continue;
-    engine.address = told.address;
-    retireChannel(engine);
-    engine.channel = std::make_shared<grpc::Channel>(loop_, told.address, options_);
-    engine.channel->onGoaway = [this, id = told.entry.id] { handler_.onGoAway(id); };
-  }
+  for (const discovery::Engine& listed : list.engines) updateEngine(listed);
+  closeRemovedEngines();
+}
+
+void GrpcEngineTransport::updateEngine(const discovery::Engine& listed) {
+  const EngineId id = listed.entry.id;
+  Engine& engine = engines_[id];
+  engine.removed = listed.entry.state == EngineEntry::State::kRemoved;
+  const bool connected = engine.channel && engine.address == listed.address;
+  if (engine.removed || connected) return;
+  engine.address = listed.address;
+  retireChannel(engine);
+  engine.channel = std::make_shared<grpc::Channel>(loop_, listed.address, options_);
+  engine.channel->onGoaway = [this, id] { handler_.onGoAway(id); };
+}
+
+// A removed engine stays known until its last connection has ended.
+void GrpcEngineTransport::closeRemovedEngines() {
   for (auto& [id, engine] : engines_) {
     if (engine.removed && engine.channel) engine.channel->closeIdle();
   }
   for (auto it = engines_.begin(); it != engines_.end();) {
     Engine& engine = it->second;
     const bool unused = engine.removed && (!engine.channel || engine.channel->connections() == 0);
-    if (unused) retireChannel(engine);
-    it = unused ? engines_.erase(it) : std::next(it);
+    if (!unused) {
+      ++it;
+      continue;
+    }
+    retireChannel(engine);
+    it = engines_.erase(it);
   }
 }
 
-// Calls on it end as broken; the channel itself goes once nobody is inside it.
+// Its calls end as broken. The channel may be in use further up the stack: it lives until the next iteration.
 void GrpcEngineTransport::retireChannel(Engine& engine) {
   if (!engine.channel) return;
-  const std::shared_ptr<grpc::Channel> old = std::move(engine.channel);
-  loop_.defer([old] { old->closeAll(); });
-  loop_.runAfter(Duration(0), [old] {});
+  const std::shared_ptr<grpc::Channel> retired = std::move(engine.channel);
+  loop_.defer([retired] { retired->closeAll(); });
+  loop_.runAfter(Duration(0), [retired] {});
 }
 
 grpc::Channel* GrpcEngineTransport::findChannel(EngineId id) {
@@ -133,164 +117,174 @@
   return it == engines_.end() ? nullptr : it->second.channel.get();
 }
 
-void GrpcEngineTransport::failUnreachable(router::CallKey key, const char* why) {
-  loop_.defer([this, alive = alive_, key, why] {
-    if (*alive)
-      handler_.onCallEnded(key, Outcome::kConnectFailed, 0, {}, why, recovery::AttemptEnd::kConfirmed);
+// ---- Prefills and decodes ----
+void GrpcEngineTransport::failUnreachable(router::CallKey key) {
+  loop_.defer([this, alive = alive_, key] {
+    if (!*alive) return;
+    handler_.onCallEnded(key, Outcome::kConnectFailed, 0, {}, kNoAddress, recovery::AttemptEnd::kConfirmed);
   });
 }
 
-void GrpcEngineTransport::start(const router::StartPrefill& read) {
-  grpc::Channel* const channel = findChannel(read.engine);
-  if (channel == nullptr) return failUnreachable(read.call, "engine has no address");
-  v1::PrefillRequest request;
-  setName(request.mutable_name(), read.id, read.attempt, node_);
-  request.set_request_class(read.payload->requestClass);
-  request.set_tenant(read.payload->tenant);
-  request.set_session(read.payload->session);
-  request.set_prefix_key(read.payload->prefixKey);
-  request.set_prefix_tokens(read.payload->prefixTokens);
-  request.set_prompt(read.payload->prompt);
-  request.set_prompt_tokens(read.payload->promptTokens);
-  const auto call =
-      channel->start("/gannetcourse.v1.Engine/Prefill", request.SerializeAsString(), read.timeUntilDeadline);
-  calls_[read.call] = {call, true, false, 0, {}};
-  call->onMessage = [this, key = read.call](std::string_view message) { onPrefillReply(key, message); };
-  call->onEnd = [this, key = read.call](const grpc::CallEnd& end) { onCallEnd(key, end); };
+void GrpcEngineTransport::startCall(grpc::Channel& channel, router::CallKey key, const std::string& method,
+                                    const std::string& message, Duration timeout, bool isPrefill) {
+  const auto call = channel.start(method, message, timeout);
+  calls_[key] = {call, isPrefill, 0, {}};
+  if (isPrefill) {
+    call->onMessage = [this, key](std::string_view reply) { onPrefillReply(key, reply); };
+  } else {
+    call->onMessage = [this, key](std::string_view token) { onDecodeToken(key, token); };
+  }
+  call->onEnd = [this, key](const grpc::CallEnd& end) { onCallEnd(key, end); };
 }
 
-void GrpcEngineTransport::onPrefillReply(router::CallKey key, std::string_view message) {
-  const auto it = calls_.find(key);
-  v1::PrefillReply reply;
-  if (it == calls_.end() || !parse(reply, message)) return;
-  Call& call = it->second;
-  // The reply is whole: the read has ended well, and its status need not be waited for.
-  const std::shared_ptr<grpc::ClientCall> done = call.call;
-  calls_.erase(it);
-  done->onEnd = nullptr;
-  handler_.onPrefillEnded(key, reply.state(), reply.kept_tokens(), loadOf(reply.has_load(), reply.load()));
+void GrpcEngineTransport::start(const router::StartPrefill& prefill) {
+  grpc::Channel* const channel = findChannel(prefill.engine);
+  if (channel == nullptr) return failUnreachable(prefill.call);
+  const router::RequestPayload& payload = *prefill.payload;
+  v1::PrefillRequest request;
+  setAttempt(request.mutable_name(), prefill.id, prefill.attempt, nodeName_);
+  request.set_request_class(payload.requestClass);
+  request.set_tenant(payload.tenant);
+  request.set_session(payload.session);
+  request.set_prefix_key(payload.prefixKey);
+  request.set_prefix_tokens(payload.prefixTokens);
+  request.set_prompt(payload.prompt);
+  request.set_prompt_tokens(payload.promptTokens);
+  startCall(*channel, prefill.call, "/gannetcourse.v1.Engine/Prefill", request.SerializeAsString(),
+            prefill.timeUntilDeadline, true);
 }
 
-void GrpcEngineTransport::start(const router::StartDecode& write) {
-  grpc::Channel* const channel = findChannel(write.engine);
-  if (channel == nullptr) return failUnreachable(write.call, "engine has no address");
+void GrpcEngineTransport::start(const router::StartDecode& decode) {
+  grpc::Channel* const channel = findChannel(decode.engine);
+  if (channel == nullptr) return failUnreachable(decode.call);
+  const router::RequestPayload& payload = *decode.payload;
   v1::DecodeRequest request;
-  setName(request.mutable_name(), write.id, write.attempt, node_);
-  request.set_request_class(write.payload->requestClass);
-  request.set_tenant(write.payload->tenant);
-  request.set_session(write.payload->session);
-  request.set_prompt_tokens(write.payload->promptTokens);
-  request.set_max_output_tokens(write.payload->maxOutputTokens);
-  request.set_seed(write.payload->seed);
-  request.set_first_index(write.payload->firstTokenIndex);
+  setAttempt(request.mutable_name(), decode.id, decode.attempt, nodeName_);
+  request.set_request_class(payload.requestClass);
+  request.set_tenant(payload.tenant);
+  request.set_session(payload.session);
+  request.set_prompt_tokens(payload.promptTokens);
+  request.set_max_output_tokens(payload.maxOutputTokens);
+  request.set_seed(payload.seed);
+  request.set_first_index(payload.firstTokenIndex);
   request.set_lease_ms(leaseMs_);
-  if (write.prefillEngine) {
-    const auto reader = engines_.find(*write.prefillEngine);
-    request.set_state(write.stateHandle);
-    if (reader != engines_.end()) request.set_reader_address(reader->second.address.text());
+  if (decode.prefillEngine) {
+    const auto prefillEngine = engines_.find(*decode.prefillEngine);
+    request.set_state(decode.stateHandle);
+    if (prefillEngine != engines_.end()) request.set_reader_address(prefillEngine->second.address.text());
   } else {
-    request.set_prompt(write.payload->prompt);
-    request.set_prefix_key(write.payload->prefixKey);
-    request.set_prefix_tokens(write.payload->prefixTokens);
+    request.set_prompt(payload.prompt);
+    request.set_prefix_key(payload.prefixKey);
+    request.set_prefix_tokens(payload.prefixTokens);
   }
-  const auto call =
-      channel->start("/gannetcourse.v1.Engine/Decode", request.SerializeAsString(), write.timeUntilDeadline);
-  calls_[write.call] = {call, false, false, 0, {}};
-  call->onMessage = [this, key = write.call](std::string_view message) { onDecodeToken(key, message); };
-  call->onEnd = [this, key = write.call](const grpc::CallEnd& end) { onCallEnd(key, end); };
+  startCall(*channel, decode.call, "/gannetcourse.v1.Engine/Decode", request.SerializeAsString(),
+            decode.timeUntilDeadline, false);
+}
+
+void GrpcEngineTransport::onPrefillReply(router::CallKey key, std::string_view message) {
+  const auto it = calls_.find(key);
+  if (it == calls_.end()) return;
+  v1::PrefillReply reply;
+  if (!parse(reply, message)) return;
+  // The reply is complete: the prefill has ended well, and its status need not be awaited.
+  const std::shared_ptr<grpc::ClientCall> call = it->second.call;
+  calls_.erase(it);
+  call->onEnd = nullptr;
+  handler_.onPrefillEnded(key, reply.state(), reply.kept_tokens(), loadOf(reply.has_load(), reply.load()));
 }
 
 void GrpcEngineTransport::onDecodeToken(router::CallKey key, std::string_view message) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
+  Call& call = it->second;
   v1::DecodeToken& token = *decodeToken_;
-  if (!parse(token, message)) return it->second.call->cancel();
-  if (token.has_load()) it->second.load = loadOf(true, token.load());
-  if (token.kept_tokens() > 0) it->second.cachedTokens = token.kept_tokens();
+  if (!parse(token, message)) return call.call->cancel();
+  if (token.has_load()) call.load = loadOf(true, token.load());
+  if (token.kept_tokens() > 0) call.cachedTokens = token.kept_tokens();
   handler_.onToken(key, token.index(), std::move(*token.mutable_text()));
 }
 
 void GrpcEngineTransport::onCallEnd(router::CallKey key, const grpc::CallEnd& end) {
-  auto node = calls_.extract(key);
+  const auto node = calls_.extract(key);
   if (node.empty()) return;
   const Call& call = node.mapped();
   Outcome outcome = outcomeOf(end);
-  if (call.isPrefill && outcome == Outcome::kOk) outcome = Outcome::kError;  // a status without a reply
-  const std::string why =
-      outcome == Outcome::kOk ? "" : std::string(grpc::nameOf(end.status.code)) + ": " + end.status.message;
-  handler_.onCallEnded(key, outcome, call.cachedTokens, call.load, why, attemptEndOf(end));
+  const bool withoutReply = call.isPrefill && outcome == Outcome::kOk;
+  if (withoutReply) outcome = Outcome::kError;
+  handler_.onCallEnded(key, outcome, call.cachedTokens, call.load, reasonOf(outcome, end.status),
+                       attemptEndOf(end));
 }
 
 void GrpcEngineTransport::cancelCall(router::CallKey key) {
-  auto node = calls_.extract(key);
+  const auto node = calls_.extract(key);
   if (!node.empty()) node.mapped().call->cancel();
 }
 
 void GrpcEngineTransport::pauseStream(router::CallKey key, bool paused) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
-  const std::shared_ptr<grpc::ClientCall> call = it->second.call;
+  const std::shared_ptr<grpc::ClientCall> call = it->second.call;  // it may end within pause()
   call->pause(paused);
 }
 
-void GrpcEngineTransport::startAuxiliaryCall(
-    EngineId engine, const std::string& method, const std::string& message, Duration most,
-    std::function<void(const grpc::CallEnd&, const std::string&)> then) {
+// ---- Auxiliary calls ----
+void GrpcEngineTransport::startAuxiliaryCall(EngineId engine, const std::string& method,
+                                             const std::string& message, Duration timeout,
+                                             AuxiliaryCallEnd onEnd) {
   grpc::Channel* const channel = findChannel(engine);
   if (channel == nullptr) {
-    loop_.defer([alive = alive_, then = std::move(then)] {
-      if (*alive)
-        then({grpc::CallEnd::Kind::kNotSent, {grpc::Code::kUnavailable, "engine has no address"}, {}}, {});
+    loop_.defer([alive = alive_, onEnd = std::move(onEnd)] {
+      if (*alive) onEnd({grpc::CallEnd::Kind::kNotSent, {grpc::Code::kUnavailable, kNoAddress}, {}}, {});
     });
     return;
   }
   const std::uint64_t key = ++lastAuxiliaryCall_;
-  const auto call = channel->start(method, message, most);
+  const auto call = channel->start(method, message, timeout);
   const auto reply = std::make_shared<std::string>();
   call->onMessage = [reply](std::string_view bytes) { reply->assign(bytes); };
-  call->onEnd = [this, alive = alive_, key, reply, then = std::move(then)](const grpc::CallEnd& end) {
+  call->onEnd = [this, alive = alive_, key, reply, onEnd = std::move(onEnd)](const grpc::CallEnd& end) {
     if (!*alive) return;
     const auto node = auxiliaryCalls_.extract(key);
-    if (!node.empty()) loop_.cancelTimer(node.mapped().timer);
-    then(end, *reply);
+    if (!node.empty()) loop_.cancelTimer(node.mapped().timeout);
+    onEnd(end, *reply);
   };
-  auxiliaryCalls_[key] = {call, loop_.runAfter(most, [call] { call->cancel(); })};
+  auxiliaryCalls_[key] = {call, loop_.runAfter(timeout, [call] { call->cancel(); })};
 }
 
-void GrpcEngineTransport::reserve(const router::ReserveCapacity& seat) {
+void GrpcEngineTransport::reserve(const router::ReserveCapacity& reservation) {
   v1::ReserveRequest request;
-  setName(request.mutable_name(), seat.id, seat.attempt, node_);
-  request.set_tokens(seat.tokens);
-  startAuxiliaryCall(
-      seat.engine, "/gannetcourse.v1.Engine/Reserve", request.SerializeAsString(), kSmallCall,
-      [this, key = seat.request, engine = seat.engine](const grpc::CallEnd& end, const std::string& bytes) {
-        v1::ReserveReply reply;
-        const bool held = outcomeOf(end) == Outcome::kOk && parse(reply, bytes) && reply.held();
-        handler_.onReservationResult(key, engine, held);
-      });
+  setAttempt(request.mutable_name(), reservation.id, reservation.attempt, nodeName_);
+  request.set_tokens(reservation.tokens);
+  startAuxiliaryCall(reservation.engine, "/gannetcourse.v1.Engine/Reserve", request.SerializeAsString(),
+                     kAuxiliaryCallTimeout,
+                     [this, key = reservation.request, engine = reservation.engine](
+                         const grpc::CallEnd& end, const std::string& bytes) {
+                       v1::ReserveReply reply;
+                       const bool answered = outcomeOf(end) == Outcome::kOk && parse(reply, bytes);
+                       handler_.onReservationResult(key, engine, answered && reply.held());
+                     });
 }
 
-void GrpcEngineTransport::releaseState(const router::ReleaseState& letGo) {
+void GrpcEngineTransport::releaseState(const router::ReleaseState& release) {
   v1::ReleaseRequest request;
-  setName(request.mutable_name(), letGo.id, letGo.attempt, node_);
+  setAttempt(request.mutable_name(), release.id, release.attempt, nodeName_);
   sendRelease(std::make_shared<const PendingRelease>(
-      PendingRelease{letGo.engine, request.SerializeAsString(), loop_.now() + kReleaseWithin}));
+      PendingRelease{release.engine, request.SerializeAsString(), loop_.now() + kReleaseRetryLimit}));
 }
 
 void GrpcEngineTransport::sendRelease(const std::shared_ptr<const PendingRelease>& release) {
-  startAuxiliaryCall(release->engine, "/gannetcourse.v1.Engine/Release", release->message, kReleaseAnswer,
+  startAuxiliaryCall(release->engine, "/gannetcourse.v1.Engine/Release", release->message, kReleaseTimeout,
                      [this, release](const grpc::CallEnd& end, const std::string&) {
-                       // The states of an engine that is off the list have ended with the connection to it.
-                       const bool known = engines_.count(release->engine) > 0;
-                       const bool room = releasesAwaitingRetry_ < kMostReleasesThatWait;
-                       if (outcomeOf(end) != Outcome::kOk && known && room && loop_.now() < release->giveUpAt)
-                         retryRelease(release);
+                       if (outcomeOf(end) != Outcome::kOk) retryRelease(release);
                      });
 }
 
 void GrpcEngineTransport::retryRelease(const std::shared_ptr<const PendingRelease>& release) {
+  // The states of an engine that is off the list have ended with the connection to it.
+  if (engines_.count(release->engine) == 0) return;
+  if (releasesAwaitingRetry_ >= kMaxReleasesAwaitingRetry || loop_.now() >= release->giveUpAt) return;
   ++releasesAwaitingRetry_;
-  loop_.runAfter(kReleaseAgain, [this, alive = alive_, release] {
+  loop_.runAfter(kReleaseRetryDelay, [this, alive = alive_, release] {
     if (!*alive) return;
     --releasesAwaitingRetry_;
     sendRelease(release);
@@ -299,9 +293,9 @@
 
 void GrpcEngineTransport::fenceAttempt(const router::FenceAttempt& fence) {
   v1::FenceRequest request;
-  setName(request.mutable_name(), fence.id, fence.attempt, node_);
+  setAttempt(request.mutable_name(), fence.id, fence.attempt, nodeName_);
   startAuxiliaryCall(
-      fence.engine, "/gannetcourse.v1.Engine/Fence", request.SerializeAsString(), kSmallCall,
+      fence.engine, "/gannetcourse.v1.Engine/Fence", request.SerializeAsString(), kAuxiliaryCallTimeout,
       [this, key = fence.request, attempt = fence.attempt](const grpc::CallEnd& end, const std::string&) {
         if (outcomeOf(end) == Outcome::kOk) handler_.onAttemptFenced(key, attempt);
       });
@@ -309,14 +303,12 @@
 
 void GrpcEngineTransport::probe(EngineId engine) {
   startAuxiliaryCall(
-      engine, "/gannetcourse.v1.Engine/Probe", v1::ProbeRequest().SerializeAsString(), kSmallCall,
-      [this, engine, from = loop_.now()](const grpc::CallEnd& end, const std::string& bytes) {
+      engine, "/gannetcourse.v1.Engine/Probe", v1::ProbeRequest().SerializeAsString(), kAuxiliaryCallTimeout,
+      [this, engine, startedAt = loop_.now()](const grpc::CallEnd& end, const std::string& bytes) {
         v1::ProbeReply reply;
-        const Outcome told = outcomeOf(end);
-        const bool good = told == Outcome::kOk && parse(reply, bytes);
-        const Outcome outcome = good ? Outcome::kOk : told == Outcome::kCancelled ? Outcome::kTimeout : told;
-        handler_.onProbeEnded(engine, outcome, loop_.now() - from,
-                              loadOf(good && reply.has_load(), reply.load()));
+        const bool answered = outcomeOf(end) == Outcome::kOk && parse(reply, bytes);
+        const std::optional<LoadReport> load = loadOf(answered && reply.has_load(), reply.load());
+        handler_.onProbeEnded(engine, probeOutcomeOf(end), loop_.now() - startedAt, load);
       });
 }
 
--- a/src/engines/grpc_engine_transport.h
+++ b/src/engines/grpc_engine_transport.h
@@ -1,6 +1,7 @@
-// The engines' client: carries out the core's calls over gRPC and tells it how each ended. Decides nothing.
+// The engines' client over gRPC: carries out the core's calls and reports how each ended. Decides nothing.
 #pragma once
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
@@ -16,26 +17,26 @@
 
 namespace gannetcourse::engines {
 
-// Every way a call can end, as the module knows it. "Known not to have run" is kept apart from "may have
-// run".
-Outcome outcomeOf(const grpc::CallEnd& end);
-
+/// Owns the connections to all engines and the calls on them. Not thread-safe: runs on the loop's thread.
 class GrpcEngineTransport final : public EngineTransport {
  public:
-  // `lease`: what engines are told of how long a stream outlives the last that they hear of this node.
-  GrpcEngineTransport(net::Loop& loop, std::string node, Duration lease, const grpc::ChannelOptions& options,
-                      EngineEventHandler& sink);
+  /// `nodeName` is what engines know this node by; `lease` is how long they continue a stream after they last
+  /// heard of this node. The loop and the handler must outlive it.
+  GrpcEngineTransport(net::Loop& loop, std::string nodeName, Duration lease,
+                      const grpc::ChannelOptions& options, EngineEventHandler& handler);
   ~GrpcEngineTransport() override;
   GrpcEngineTransport(const GrpcEngineTransport&) = delete;
   GrpcEngineTransport& operator=(const GrpcEngineTransport&) = delete;
 
+  /// Follows the engine list: new addresses get connections; those of removed engines are closed as their
+  /// calls end.
   void updateEngines(const discovery::EngineList& list);
 
-  void start(const router::StartPrefill& read) override;
-  void start(const router::StartDecode& write) override;
+  void start(const router::StartPrefill& prefill) override;
+  void start(const router::StartDecode& decode) override;
   void cancelCall(router::CallKey call) override;
-  void reserve(const router::ReserveCapacity& seat) override;
-  void releaseState(const router::ReleaseState& letGo) override;
+  void reserve(const router::ReserveCapacity& reservation) override;
+  void releaseState(const router::ReleaseState& release) override;
   void fenceAttempt(const router::FenceAttempt& fence) override;
   void probe(EngineId engine) override;
   void pauseStream(router::CallKey call, bool paused) override;
@@ -48,49 +49,55 @@
     std::shared_ptr<grpc::Channel> channel;
     bool removed = false;
   };
+  // A prefill or a decode.
   struct Call {
     std::shared_ptr<grpc::ClientCall> call;
-    bool isPrefill = false, answered = false;
+    bool isPrefill = false;
     double cachedTokens = 0;
     std::optional<LoadReport> load;
   };
-
-  // A release that its engine has to take: the state is with it alone.
+  // Any other call: short, and cut off after a time-out.
+  struct AuxiliaryCall {
+    std::shared_ptr<grpc::ClientCall> call;
+    net::TimerId timeout = 0;
+  };
+  using AuxiliaryCallEnd = std::function<void(const grpc::CallEnd&, const std::string& reply)>;
+  // A release is sent until its engine has taken it: the engine alone holds the state.
   struct PendingRelease {
     EngineId engine;
     std::string message;
-    Instant giveUpAt;  // then it is given up
+    Instant giveUpAt;
   };
 
+  void updateEngine(const discovery::Engine& listed);
+  void closeRemovedEngines();
   void retireChannel(Engine& engine);
-  void sendRelease(const std::shared_ptr<const PendingRelease>& release);
-  void retryRelease(const std::shared_ptr<const PendingRelease>& release);
   grpc::Channel* findChannel(EngineId id);
-  void failUnreachable(router::CallKey key, const char* why);
-  void onCallEnd(router::CallKey key, const grpc::CallEnd& end);
+
+  void startCall(grpc::Channel& channel, router::CallKey key, const std::string& method,
+                 const std::string& message, Duration timeout, bool isPrefill);
+  void failUnreachable(router::CallKey key);
   void onPrefillReply(router::CallKey key, std::string_view message);
   void onDecodeToken(router::CallKey key, std::string_view message);
-  // A short call whose end is told to `then`, cut off after `most`.
+  void onCallEnd(router::CallKey key, const grpc::CallEnd& end);
+
   void startAuxiliaryCall(EngineId engine, const std::string& method, const std::string& message,
-                          Duration most,
-                          std::function<void(const grpc::CallEnd&, const std::string& reply)> then);
+                          Duration timeout, AuxiliaryCallEnd onEnd);
+  void sendRelease(const std::shared_ptr<const PendingRelease>& release);
+  void retryRelease(const std::shared_ptr<const PendingRelease>& release);
 
   net::Loop& loop_;
-  std::string node_;
+  std::string nodeName_;
   std::uint32_t leaseMs_;
   grpc::ChannelOptions options_;
   EngineEventHandler& handler_;
-  std::unique_ptr<v1::DecodeToken> decodeToken_;  // the one at hand
+  std::unique_ptr<v1::DecodeToken> decodeToken_;  // reused for each message
   std::map<EngineId, Engine> engines_;
   std::unordered_map<router::CallKey, Call> calls_;
-  struct AuxiliaryCall {
-    std::shared_ptr<grpc::ClientCall> call;
-    net::TimerId timer = 0;
-  };
   std::unordered_map<std::uint64_t, AuxiliaryCall> auxiliaryCalls_;
   std::uint64_t lastAuxiliaryCall_ = 0;
-  std::size_t releasesAwaitingRetry_ = 0;  // to be sent again
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::size_t releasesAwaitingRetry_ = 0;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for callbacks that outlive this
 };
 
 }  // namespace gannetcourse::engines
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -1,7 +1,7 @@
 // A grpc::Channel against a raw server that answers in every wrong way.
 #include "grpc/channel.h"
 
-#include "engines/grpc_engine_transport.h"
+#include "engines/call_outcome.h"
 #include "raw_http2.h"
 
 namespace gannetcourse::grpc {
