--- /dev/null
+++ b/src/engines/grpc_engine_transport.h
@@ -0,0 +1,103 @@
+// The engines' client over gRPC: carries out the core's calls and reports how each ended. Decides nothing.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <unordered_map>
+
+#include "discovery/engine_list.h"
+#include "engines/engine_transport.h"
+#include "grpc/channel.h"
+
+namespace gannetcourse::v1 {
+class DecodeToken;
+}
+
+namespace gannetcourse::engines {
+
+/// Owns the connections to all engines and the calls on them. Not thread-safe: runs on the loop's thread.
+class GrpcEngineTransport final : public EngineTransport {
+ public:
+  /// `nodeName` is what engines know this node by; `lease` is how long they continue a stream after they last
+  /// heard of this node. The loop and the handler must outlive it.
+  GrpcEngineTransport(net::Loop& loop, std::string nodeName, Duration lease,
+                      const grpc::ChannelOptions& options, EngineEventHandler& handler);
+  ~GrpcEngineTransport() override;
+  GrpcEngineTransport(const GrpcEngineTransport&) = delete;
+  GrpcEngineTransport& operator=(const GrpcEngineTransport&) = delete;
+
+  /// Follows the engine list: new addresses get connections; those of removed engines are closed as their
+  /// calls end.
+  void updateEngines(const discovery::EngineList& list);
+
+  void start(const router::StartPrefill& prefill) override;
+  void start(const router::StartDecode& decode) override;
+  void cancelCall(router::CallKey call) override;
+  void reserve(const router::ReserveCapacity& reservation) override;
+  void releaseState(const router::ReleaseState& release) override;
+  void fenceAttempt(const router::FenceAttempt& fence) override;
+  void probe(EngineId engine) override;
+  void pauseStream(router::CallKey call, bool paused) override;
+
+  std::size_t auxiliaryCalls() const override { return auxiliaryCalls_.size() + releasesAwaitingRetry_; }
+
+ private:
+  struct Engine {
+    net::Endpoint address;
+    std::shared_ptr<grpc::Channel> channel;
+    bool removed = false;
+  };
+  // A prefill or a decode.
+  struct Call {
+    std::shared_ptr<grpc::ClientCall> call;
+    bool isPrefill = false;
+    double cachedTokens = 0;
+    std::optional<LoadReport> load;
+  };
+  // Any other call: short, and cut off after a time-out.
+  struct AuxiliaryCall {
+    std::shared_ptr<grpc::ClientCall> call;
+    net::TimerId timeout = 0;
+  };
+  using AuxiliaryCallEnd = std::function<void(const grpc::CallEnd&, const std::string& reply)>;
+  // A release is sent until its engine has taken it: the engine alone holds the state.
+  struct PendingRelease {
+    EngineId engine;
+    std::string message;
+    Instant giveUpAt;
+  };
+
+  void updateEngine(const discovery::Engine& listed);
+  void closeRemovedEngines();
+  void retireChannel(Engine& engine);
+  grpc::Channel* findChannel(EngineId id);
+
+  void startCall(grpc::Channel& channel, router::CallKey key, const std::string& method,
+                 const std::string& message, Duration timeout, bool isPrefill);
+  void failUnreachable(router::CallKey key);
+  void onPrefillReply(router::CallKey key, std::string_view message);
+  void onDecodeToken(router::CallKey key, std::string_view message);
+  void onCallEnd(router::CallKey key, const grpc::CallEnd& end);
+
+  void startAuxiliaryCall(EngineId engine, const std::string& method, const std::string& message,
+                          Duration timeout, AuxiliaryCallEnd onEnd);
+  void sendRelease(const std::shared_ptr<const PendingRelease>& release);
+  void retryRelease(const std::shared_ptr<const PendingRelease>& release);
+
+  net::Loop& loop_;
+  std::string nodeName_;
+  std::uint32_t leaseMs_;
+  grpc::ChannelOptions options_;
+  EngineEventHandler& handler_;
+  std::unique_ptr<v1::DecodeToken> decodeToken_;  // reused for each message
+  std::map<EngineId, Engine> engines_;
+  std::unordered_map<router::CallKey, Call> calls_;
+  std::unordered_map<std::uint64_t, AuxiliaryCall> auxiliaryCalls_;
+  std::uint64_t lastAuxiliaryCall_ = 0;
+  std::size_t releasesAwaitingRetry_ = 0;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for callbacks that outlive this
+};
+
+}  // namespace gannetcourse::engines
