--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -41,7 +41,7 @@
                        PkgConfig::XXHASH)
 gannetcourse_component(driver SOURCES src/node/core_driver.cpp LINK gannetcourse_router gannetcourse_net)
 gannetcourse_component(node SOURCES src/node/node.cpp LINK gannetcourse_driver gannetcourse_engines gannetcourse_frontend)
-gannetcourse_component(http1 SOURCES src/http1/parser.cpp src/http1/life.cpp src/http1/server.cpp
+gannetcourse_component(http1 SOURCES src/http1/parser.cpp src/http1/connection_state.cpp src/http1/server.cpp
                                 src/http1/server_connection.cpp
                                 src/http1/client.cpp
                   LINK gannetcourse_net)
--- a/src/engines/fleet.cpp
+++ b/src/engines/fleet.cpp
@@ -114,7 +114,7 @@
   }
   for (auto it = engines_.begin(); it != engines_.end();) {
     Engine& engine = it->second;
-    const bool unused = engine.gone && (!engine.channel || engine.channel->connections() == 0);
+    const bool unused = engine.gone && (!engine.channel || engine.channel->connectionCount() == 0);
     if (unused) retire(engine);
     it = unused ? engines_.erase(it) : std::next(it);
   }
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -6,11 +6,11 @@
 namespace gannetcourse::grpc {
 
 // One connection of a channel.
-struct Link final : http2::SessionOwner {
-  Link(Channel& owner, net::Loop& loop, const http2::Limits& limits)
+struct ChannelConnection final : http2::SessionOwner {
+  ChannelConnection(Channel& owner, net::Loop& loop, const http2::Limits& limits)
       : channel(owner), session(loop, http2::Session::Side::kClient, *this, limits) {}
 
-  void onSessionReady() override { channel.linkReady(*this); }
+  void onSessionReady() override { channel.onConnectionReady(*this); }
   void onHeaders(http2::StreamId stream, http2::Headers headers, bool overflow) override;
   void onData(http2::StreamId stream, std::span<const std::uint8_t> bytes) override;
   void onRemoteEnd(http2::StreamId stream) override;
@@ -18,17 +18,19 @@
   void onGoaway() override {
     if (channel.onGoaway) channel.onGoaway();
   }
-  void onPong() override { pongs = pings; }
+  void onPong() override { pingsAcknowledged = pingsSent; }
   void onStrayFrame(http2::StreamId stream) override {
     if (channel.onStrayFrame) channel.onStrayFrame(stream);
   }
-  void onSessionClosed(const std::string& reason) override { channel.linkEnded(*this, ready, reason); }
+  void onSessionClosed(const std::string& reason) override {
+    channel.onConnectionClosed(*this, ready, reason);
+  }
 
   Channel& channel;
   http2::Session session;
   std::unordered_map<http2::StreamId, std::shared_ptr<ClientCall>> calls;
   bool ready = false, ended = false;
-  std::uint64_t number = 0, pings = 0, pongs = 0;
+  std::uint64_t id = 0, pingsSent = 0, pingsAcknowledged = 0;
 };
 
 namespace {
@@ -49,13 +51,14 @@
                  "no grpc-status; HTTP status " + told);
   }
   const std::string* message = http2::find(last, "grpc-message");
-  return {CallEnd::Kind::kStatus, {codeOf(*code), message == nullptr ? "" : percentDecode(*message)}, last};
+  return {
+      CallEnd::Kind::kStatus, {codeFromText(*code), message == nullptr ? "" : percentDecode(*message)}, last};
 }
 
 }  // namespace
 
 // ---- Link ----
-void Link::onHeaders(http2::StreamId stream, http2::Headers headers, bool overflow) {
+void ChannelConnection::onHeaders(http2::StreamId stream, http2::Headers headers, bool overflow) {
   const auto it = calls.find(stream);
   if (it == calls.end()) return;
   const std::shared_ptr<ClientCall> call = it->second;
@@ -65,30 +68,31 @@
   }
   const std::string* status = http2::find(headers, ":status");
   if (status != nullptr && !status->empty() && status->front() == '1') return;  // an interim answer
-  (std::exchange(call->answered_, true) ? call->trailers_ : call->answer_) = std::move(headers);
+  (std::exchange(call->headersReceived_, true) ? call->trailers_ : call->responseHeaders_) =
+      std::move(headers);
 }
 
-void Link::onData(http2::StreamId stream, std::span<const std::uint8_t> bytes) {
+void ChannelConnection::onData(http2::StreamId stream, std::span<const std::uint8_t> bytes) {
   const auto it = calls.find(stream);
   if (it == calls.end()) return session.consumed(stream, bytes.size());
   const std::shared_ptr<ClientCall> call = it->second;
-  call->take(bytes);
+  call->onData(bytes);
 }
 
-void Link::onRemoteEnd(http2::StreamId stream) {
+void ChannelConnection::onRemoteEnd(http2::StreamId stream) {
   const auto it = calls.find(stream);
-  if (it != calls.end()) it->second->remoteEnded_ = true;
+  if (it != calls.end()) it->second->remoteClosed_ = true;
 }
 
-void Link::onStreamClosed(http2::StreamId stream, std::uint32_t code) {
+void ChannelConnection::onStreamClosed(http2::StreamId stream, std::uint32_t code) {
   const auto it = calls.find(stream);
   if (it == calls.end()) return;
   const std::shared_ptr<ClientCall> call = it->second;
   calls.erase(it);
-  call->link_ = nullptr;
-  channel.streamFreed();
-  if (call->remoteEnded_) {
-    call->deliver();  // what is left goes out before the status, paused or not
+  call->connection_ = nullptr;
+  channel.onStreamFreed();
+  if (call->remoteClosed_) {
+    call->deliverMessages();  // what is left goes out before the status, paused or not
   } else if (!session.isOpen()) {
     const bool byPeer = session.closedByPeer();
     call->end(endOf(byPeer ? CallEnd::Kind::kConnectionLost : CallEnd::Kind::kAbandoned, Code::kUnavailable,
@@ -96,19 +100,19 @@
   } else if (code == http2::kRefusedStream) {
     call->end(endOf(CallEnd::Kind::kRefusedStream, Code::kUnavailable, "stream refused"));
   } else {
-    call->end(
-        endOf(CallEnd::Kind::kReset, codeOfReset(code), "stream reset, HTTP/2 code " + std::to_string(code)));
+    call->end(endOf(CallEnd::Kind::kReset, codeFromHttp2Error(code),
+                    "stream reset, HTTP/2 code " + std::to_string(code)));
   }
 }
 
 // ---- Call ----
-void ClientCall::take(std::span<const std::uint8_t> bytes) {
-  unreleased_ += bytes.size();
+void ClientCall::onData(std::span<const std::uint8_t> bytes) {
+  unacknowledgedBytes_ += bytes.size();
   reader_->add({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
-  deliver();
+  deliverMessages();
 }
 
-void ClientCall::deliver() {
+void ClientCall::deliverMessages() {
   if (std::exchange(delivering_, true)) return;
   const auto self = shared_from_this();
   while (!over_ && !paused_) {
@@ -122,37 +126,37 @@
     return;
   }
   if (reader_->fault() != MessageReader::Fault::kNone) {
-    if (link_ != nullptr) {
-      const auto link = std::exchange(link_, nullptr);
+    if (connection_ != nullptr) {
+      const auto link = std::exchange(connection_, nullptr);
       link->calls.erase(stream_);
       link->session.reset(stream_, http2::kCancel);
     }
     return end(endOf(CallEnd::Kind::kMalformed, Code::kInternal, "an answer's message cannot be read"));
   }
-  const std::size_t held = std::min(reader_->held(), unreleased_);
-  if (link_ != nullptr && (!paused_ || held == 0)) {
+  const std::size_t held = std::min(reader_->bufferedBytes(), unacknowledgedBytes_);
+  if (connection_ != nullptr && (!paused_ || held == 0)) {
     // Half a message must not shut the window, or its rest could not come.
-    link_->session.consumed(stream_, std::exchange(unreleased_, 0));
-  } else if (link_ != nullptr) {
-    link_->session.consumed(stream_, std::exchange(unreleased_, held) - held);
+    connection_->session.consumed(stream_, std::exchange(unacknowledgedBytes_, 0));
+  } else if (connection_ != nullptr) {
+    connection_->session.consumed(stream_, std::exchange(unacknowledgedBytes_, held) - held);
   }
-  if (remoteEnded_ && link_ == nullptr && !paused_) {
-    end(reader_->midMessage()
+  if (remoteClosed_ && connection_ == nullptr && !paused_) {
+    end(reader_->isInsideMessage()
             ? endOf(CallEnd::Kind::kMalformed, Code::kInternal, "answer ends inside a message")
-            : statusOf(answer_, trailers_));
+            : statusOf(responseHeaders_, trailers_));
   }
 }
 
 void ClientCall::pause(bool paused) {
   paused_ = paused;
-  if (!paused_ && reader_) deliver();
+  if (!paused_ && reader_) deliverMessages();
 }
 
 void ClientCall::cancel() {
   if (over_) return;
   const auto self = shared_from_this();
-  if (link_ != nullptr) {
-    const auto link = std::exchange(link_, nullptr);
+  if (connection_ != nullptr) {
+    const auto link = std::exchange(connection_, nullptr);
     link->calls.erase(stream_);
     link->session.reset(stream_, http2::kCancel);
   }
@@ -168,14 +172,14 @@
 
 // ---- Channel ----
 Channel::Channel(net::Loop& loop, net::Endpoint to, ChannelOptions options)
-    : loop_(loop), to_(std::move(to)), options_(std::move(options)) {}
+    : loop_(loop), endpoint_(std::move(to)), options_(std::move(options)) {}
 
 Channel::~Channel() {
   *alive_ = false;
-  loop_.cancelTimer(keepalive_);
-  for (auto& link : links_) {
+  loop_.cancelTimer(keepaliveTimer_);
+  for (auto& link : connections_) {
     for (auto& [id, call] : link->calls) {
-      call->link_ = nullptr;
+      call->connection_ = nullptr;
       call->over_ = true;
     }
     link->session.close();
@@ -185,8 +189,8 @@
 
 void Channel::closeAll() {
   failQueued("channel closed");
-  for (std::size_t i = 0; i < links_.size(); ++i) {
-    if (!links_[i]->ended) links_[i]->session.fail("channel closed");
+  for (std::size_t i = 0; i < connections_.size(); ++i) {
+    if (!connections_[i]->ended) connections_[i]->session.fail("channel closed");
   }
 }
 
@@ -196,7 +200,7 @@
   call->request_ = {{":method", "POST"},
                     {":scheme", "http"},
                     {":path", method},
-                    {":authority", to_.text()},
+                    {":authority", endpoint_.text()},
                     {"te", "trailers"},
                     {"content-type", "application/grpc+proto"},
                     {"user-agent", options_.userAgent}};
@@ -204,34 +208,34 @@
   call->request_.insert(call->request_.end(), metadata.begin(), metadata.end());
   call->body_ = frame(message);
   call->reader_.emplace(options_.maxMessageBytes);
-  place(call);
+  dispatch(call);
   return call;
 }
 
-void Channel::place(const std::shared_ptr<ClientCall>& call) {
-  for (auto& link : links_) {
-    if (link->ready && placeOn(*link, call)) return;
+void Channel::dispatch(const std::shared_ptr<ClientCall>& call) {
+  for (auto& link : connections_) {
+    if (link->ready && startOn(*link, call)) return;
   }
   if (queued_.size() >= options_.maxQueued) {
     loop_.defer(
         [call] { call->end(endOf(CallEnd::Kind::kNotSent, Code::kUnavailable, "too many calls wait")); });
     return;
   }
-  const bool opening =
-      std::any_of(links_.begin(), links_.end(), [](const auto& l) { return !l->ready && !l->ended; });
+  const bool opening = std::any_of(connections_.begin(), connections_.end(),
+                                   [](const auto& l) { return !l->ready && !l->ended; });
   if (!opening && loop_.now() < retryAt_) {
     loop_.defer([call] { call->end(endOf(CallEnd::Kind::kNotSent, Code::kUnavailable, "in back-off")); });
     return;
   }
   queued_.push_back(call);
-  if (!opening && links_.size() < options_.maxConnections) openLink();
+  if (!opening && connections_.size() < options_.maxConnections) openConnection();
 }
 
-bool Channel::placeOn(Link& link, const std::shared_ptr<ClientCall>& call) {
+bool Channel::startOn(ChannelConnection& link, const std::shared_ptr<ClientCall>& call) {
   if (call->over_) return true;
   const http2::StreamId stream = link.session.request(call->request_, call->body_);
   if (stream == 0) return false;
-  call->link_ = &link;
+  call->connection_ = &link;
   call->stream_ = stream;
   call->request_.clear();
   call->body_.clear();
@@ -241,32 +245,32 @@
   return true;
 }
 
-void Channel::openLink() {
-  links_.push_back(std::make_unique<Link>(*this, loop_, options_.http2));
-  links_.back()->number = ++lastLink_;
-  links_.back()->session.connect(to_, options_.connectTimeout);
+void Channel::openConnection() {
+  connections_.push_back(std::make_unique<ChannelConnection>(*this, loop_, options_.http2));
+  connections_.back()->id = ++lastConnectionId_;
+  connections_.back()->session.connect(endpoint_, options_.connectTimeout);
 }
 
-void Channel::linkReady(Link& link) {
+void Channel::onConnectionReady(ChannelConnection& link) {
   link.ready = true;
   backoff_ = Duration(0);
-  placeQueued();
+  dispatchQueued();
 }
 
-void Channel::streamFreed() {
+void Channel::onStreamFreed() {
   if (queued_.empty()) return;
   loop_.defer([this, alive = alive_] {
-    if (*alive) placeQueued();
+    if (*alive) dispatchQueued();
   });
 }
 
-void Channel::placeQueued() {
+void Channel::dispatchQueued() {
   std::deque<std::shared_ptr<ClientCall>> waiting;
   waiting.swap(queued_);
   while (!waiting.empty()) {
     const auto call = waiting.front();
     waiting.pop_front();
-    if (!call->over_) place(call);
+    if (!call->over_) dispatch(call);
   }
 }
 
@@ -276,41 +280,41 @@
   }
 }
 
-void Channel::linkEnded(Link& link, bool wasReady, const std::string& reason) {
+void Channel::onConnectionClosed(ChannelConnection& link, bool wasReady, const std::string& reason) {
   link.ended = true;
   link.ready = false;
   if (!wasReady) {
-    backoff_ = std::min(options_.backoffMost, backoff_.count() > 0 ? backoff_ * 2 : options_.backoffFirst);
+    backoff_ = std::min(options_.maxBackoff, backoff_.count() > 0 ? backoff_ * 2 : options_.initialBackoff);
     retryAt_ = loop_.now() + backoff_;
     failQueued(reason);
   }
   loop_.defer([this, alive = alive_, key = &link] {
     if (!*alive) return;
-    std::erase_if(links_, [key](const auto& l) { return l.get() == key; });
-    if (!queued_.empty()) placeQueued();
+    std::erase_if(connections_, [key](const auto& l) { return l.get() == key; });
+    if (!queued_.empty()) dispatchQueued();
   });
 }
 
 void Channel::closeIdle() {
-  for (auto& link : links_) {
+  for (auto& link : connections_) {
     if (link->ready && link->calls.empty()) link->session.goaway();
   }
 }
 
 void Channel::scheduleKeepalive() {
-  if (keepalive_ != 0 || options_.keepaliveEvery.count() <= 0) return;
-  keepalive_ = loop_.runAfter(options_.keepaliveEvery, [this] {
-    keepalive_ = 0;
+  if (keepaliveTimer_ != 0 || options_.keepaliveEvery.count() <= 0) return;
+  keepaliveTimer_ = loop_.runAfter(options_.keepaliveEvery, [this] {
+    keepaliveTimer_ = 0;
     bool busy = false;
-    for (auto& link : links_) {
+    for (auto& link : connections_) {
       if (!link->ready || link->calls.empty()) continue;
       busy = true;
-      const std::uint64_t due = ++link->pings;
+      const std::uint64_t due = ++link->pingsSent;
       link->session.ping();
-      loop_.runAfter(options_.keepaliveTimeout, [this, alive = alive_, number = link->number, due] {
+      loop_.runAfter(options_.keepaliveTimeout, [this, alive = alive_, number = link->id, due] {
         if (!*alive) return;
-        for (auto& l : links_) {
-          if (l->number == number && l->ready && l->pongs < due)
+        for (auto& l : connections_) {
+          if (l->id == number && l->ready && l->pingsAcknowledged < due)
             return l->session.fail("no answer to a PING");
         }
       });
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -22,9 +22,9 @@
   std::size_t maxQueued = 10000;                  // calls that may wait for a stream; more fail at once
   std::size_t maxConnections = 4;  // a further one is opened when the others take no more streams
   Duration connectTimeout{0.25};
-  Duration backoffFirst{
+  Duration initialBackoff{
       0.05};  // after a failed connect; doubles up to backoffMost. Calls fail at once meanwhile
-  Duration backoffMost{1};
+  Duration maxBackoff{1};
   Duration keepaliveEvery{5};    // a PING on a connection with calls out; 0 = never
   Duration keepaliveTimeout{2};  // without an answer to it the connection counts as broken
   std::string userAgent = "gannetcourse";
@@ -48,7 +48,7 @@
 };
 
 class Channel;
-struct Link;
+struct ChannelConnection;
 
 class ClientCall : public std::enable_shared_from_this<ClientCall> {
  public:
@@ -64,19 +64,19 @@
 
  private:
   friend class Channel;
-  friend struct Link;
-  void take(std::span<const std::uint8_t> bytes);
-  void deliver();
+  friend struct ChannelConnection;
+  void onData(std::span<const std::uint8_t> bytes);
+  void deliverMessages();
   void end(const CallEnd& end);
 
-  Link* link_ = nullptr;  // the connection that it is on
+  ChannelConnection* connection_ = nullptr;  // the connection that it is on
   http2::StreamId stream_ = 0;
   http2::Headers request_;
   std::string body_;
   std::optional<MessageReader> reader_;
-  std::size_t unreleased_ = 0;  // bytes taken from the wire that the stream's window still lacks
-  http2::Headers answer_, trailers_;
-  bool answered_ = false, remoteEnded_ = false, over_ = false, paused_ = false, delivering_ = false;
+  std::size_t unacknowledgedBytes_ = 0;  // bytes taken from the wire that the stream's window still lacks
+  http2::Headers responseHeaders_, trailers_;
+  bool headersReceived_ = false, remoteClosed_ = false, over_ = false, paused_ = false, delivering_ = false;
 };
 
 class Channel {
@@ -92,8 +92,8 @@
                                     std::optional<Duration> timeout = {},
                                     const http2::Headers& metadata = {});
 
-  const net::Endpoint& endpoint() const { return to_; }
-  std::size_t connections() const { return links_.size(); }
+  const net::Endpoint& endpoint() const { return endpoint_; }
+  std::size_t connectionCount() const { return connections_.size(); }
   void closeIdle();                                   // connections without calls
   void closeAll();                                    // breaks what is out; their ends are told
   std::function<void()> onGoaway;                     // the server ends in good order: no new calls there
@@ -101,26 +101,26 @@
 
  private:
   friend class ClientCall;
-  friend struct Link;
-  void place(const std::shared_ptr<ClientCall>& call);
-  bool placeOn(Link& link, const std::shared_ptr<ClientCall>& call);
-  void openLink();
-  void linkReady(Link& link);
-  void linkEnded(Link& link, bool wasReady, const std::string& reason);
+  friend struct ChannelConnection;
+  void dispatch(const std::shared_ptr<ClientCall>& call);
+  bool startOn(ChannelConnection& link, const std::shared_ptr<ClientCall>& call);
+  void openConnection();
+  void onConnectionReady(ChannelConnection& link);
+  void onConnectionClosed(ChannelConnection& link, bool wasReady, const std::string& reason);
   void failQueued(const std::string& reason);
-  void placeQueued();
-  void streamFreed();
+  void dispatchQueued();
+  void onStreamFreed();
   void scheduleKeepalive();
 
   net::Loop& loop_;
-  net::Endpoint to_;
+  net::Endpoint endpoint_;
   ChannelOptions options_;
-  std::vector<std::unique_ptr<Link>> links_;
-  std::uint64_t lastLink_ = 0;
+  std::vector<std::unique_ptr<ChannelConnection>> connections_;
+  std::uint64_t lastConnectionId_ = 0;
   std::deque<std::shared_ptr<ClientCall>> queued_;
   Duration backoff_{0};
   Instant retryAt_{};
-  net::TimerId keepalive_ = 0;
+  net::TimerId keepaliveTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -31,7 +31,7 @@
 
 const char* nameOf(Code code) { return kNames.at(static_cast<std::size_t>(code)); }
 
-Code codeOf(std::string_view number) {
+Code codeFromText(std::string_view number) {
   int value = -1;
   const auto [stop, fault] = std::from_chars(number.data(), number.data() + number.size(), value);
   const bool known = fault == std::errc() && stop == number.data() + number.size() && value >= 0 &&
@@ -88,36 +88,36 @@
   return "99999999H";
 }
 
-Prefix prefixOf(std::size_t size) {
-  Prefix prefix{};
+FramePrefix framePrefix(std::size_t size) {
+  FramePrefix prefix{};
   for (std::size_t i = 0; i < 4; ++i) prefix[1 + i] = static_cast<char>(size >> (24 - 8 * i));
   return prefix;
 }
 
 std::string frame(std::string_view message) {
-  const Prefix prefix = prefixOf(message.size());
+  const FramePrefix prefix = framePrefix(message.size());
   return std::string(prefix.data(), prefix.size()).append(message);
 }
 
 std::optional<std::string_view> MessageReader::next() {
-  if (at_ > 0 && (at_ == buffer_.size() || at_ > 64 * 1024)) {
-    buffer_.erase(0, at_);
-    at_ = 0;
+  if (offset_ > 0 && (offset_ == buffer_.size() || offset_ > 64 * 1024)) {
+    buffer_.erase(0, offset_);
+    offset_ = 0;
   }
-  if (fault_ != Fault::kNone || buffer_.size() - at_ < kPrefix) return std::nullopt;
-  const auto* bytes = reinterpret_cast<const unsigned char*>(buffer_.data()) + at_;
+  if (fault_ != Fault::kNone || buffer_.size() - offset_ < kPrefixBytes) return std::nullopt;
+  const auto* bytes = reinterpret_cast<const unsigned char*>(buffer_.data()) + offset_;
   std::size_t size = 0;
-  for (std::size_t i = 1; i < kPrefix; ++i) size = size << 8 | bytes[i];
+  for (std::size_t i = 1; i < kPrefixBytes; ++i) size = size << 8 | bytes[i];
   if (bytes[0] > 1) fault_ = Fault::kBadFlag;
   if (bytes[0] == 1) fault_ = Fault::kCompressed;
-  if (size > most_) fault_ = Fault::kTooLarge;
-  if (fault_ != Fault::kNone || buffer_.size() - at_ < kPrefix + size) return std::nullopt;
-  const std::string_view message(buffer_.data() + at_ + kPrefix, size);
-  at_ += kPrefix + size;
+  if (size > maxMessageBytes_) fault_ = Fault::kTooLarge;
+  if (fault_ != Fault::kNone || buffer_.size() - offset_ < kPrefixBytes + size) return std::nullopt;
+  const std::string_view message(buffer_.data() + offset_ + kPrefixBytes, size);
+  offset_ += kPrefixBytes + size;
   return message;
 }
 
-Code codeOfReset(std::uint32_t http2Code) {
+Code codeFromHttp2Error(std::uint32_t http2Code) {
   switch (http2Code) {
     case http2::kRefusedStream:
       return Code::kUnavailable;
--- a/src/grpc/protocol.h
+++ b/src/grpc/protocol.h
@@ -34,7 +34,7 @@
 };
 const char* nameOf(Code code);  // "DEADLINE_EXCEEDED"
 // A number from the wire; what is no status counts as kUnknown.
-Code codeOf(std::string_view number);
+Code codeFromText(std::string_view number);
 
 struct Status {
   Code code = Code::kOk;
@@ -52,9 +52,9 @@
 std::string formatTimeout(Duration timeout);
 
 // What stands before a message: no compression, and its length, big-endian.
-inline constexpr std::size_t kPrefix = 5;
-using Prefix = std::array<char, kPrefix>;
-Prefix prefixOf(std::size_t size);
+inline constexpr std::size_t kPrefixBytes = 5;
+using FramePrefix = std::array<char, kPrefixBytes>;
+FramePrefix framePrefix(std::size_t size);
 // A message with its prefix.
 std::string frame(std::string_view message);
 
@@ -62,23 +62,23 @@
 class MessageReader {
  public:
   enum class Fault { kNone, kTooLarge, kCompressed, kBadFlag };
-  explicit MessageReader(std::size_t mostBytes) : most_(mostBytes) {}
+  explicit MessageReader(std::size_t mostBytes) : maxMessageBytes_(mostBytes) {}
 
   void add(std::string_view bytes) { buffer_.append(bytes); }
   // The next whole message, if there is one; valid until the next call. After a fault there is none any more.
   std::optional<std::string_view> next();
   Fault fault() const { return fault_; }
-  bool midMessage() const { return at_ < buffer_.size(); }
-  std::size_t held() const { return buffer_.size() - at_; }  // bytes not yet given out
+  bool isInsideMessage() const { return offset_ < buffer_.size(); }
+  std::size_t bufferedBytes() const { return buffer_.size() - offset_; }  // bytes not yet given out
 
  private:
-  std::size_t most_;
+  std::size_t maxMessageBytes_;
   std::string buffer_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
   Fault fault_ = Fault::kNone;
 };
 
 // The status that an HTTP/2 stream's end without trailers stands for.
-Code codeOfReset(std::uint32_t http2Code);
+Code codeFromHttp2Error(std::uint32_t http2Code);
 
 }  // namespace gannetcourse::grpc
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -44,7 +44,7 @@
 std::size_t ServerCall::send(std::string_view message) {
   if (!isOpen()) return 0;
   if (!std::exchange(headersSent_, true)) connection_->session_.respond(stream_, kAnswerHeaders);
-  const Prefix prefix = prefixOf(message.size());
+  const FramePrefix prefix = framePrefix(message.size());
   return connection_->session_.send(stream_, {prefix.data(), prefix.size()}, message);
 }
 
@@ -53,12 +53,12 @@
   finished_ = true;
   http2::Headers last = trailersOf(status, trailers);
   http2::Session& session = connection_->session_;
-  if (!remoteEnded_) session.dropRest(stream_);
+  if (!remoteClosed_) session.discardRemainingInput(stream_);
   if (headersSent_) {
     session.finish(stream_, last);
   } else {
     last.insert(last.begin(), kAnswerHeaders.begin(), kAnswerHeaders.end());
-    session.respondOnly(stream_, last);
+    session.respondHeadersOnly(stream_, last);
   }
 }
 
@@ -85,16 +85,16 @@
   session_.adopt(fd);
 }
 
-ServerConnection::~ServerConnection() { endCalls(); }
+ServerConnection::~ServerConnection() { closeCalls(); }
 
 ServerCall* ServerConnection::find(http2::StreamId stream) {
   const auto it = calls_.find(stream);
   return it == calls_.end() ? nullptr : it->second.get();
 }
 
-void ServerConnection::answerHttp(http2::StreamId stream, const char* status) {
-  session_.dropRest(stream);
-  session_.respondOnly(stream, {{":status", status}});
+void ServerConnection::respondHttpError(http2::StreamId stream, const char* status) {
+  session_.discardRemainingInput(stream);
+  session_.respondHeadersOnly(stream, {{":status", status}});
 }
 
 void ServerConnection::onHeaders(http2::StreamId stream, http2::Headers headers, bool overflow) {
@@ -102,8 +102,8 @@
   const std::string* method = http2::find(headers, ":method");
   const std::string* path = http2::find(headers, ":path");
   if (!overflow && (method == nullptr || *method != "POST" || path == nullptr))
-    return answerHttp(stream, "405");
-  if (!overflow && !isGrpc(http2::find(headers, "content-type"))) return answerHttp(stream, "415");
+    return respondHttpError(stream, "405");
+  if (!overflow && !isGrpc(http2::find(headers, "content-type"))) return respondHttpError(stream, "415");
   const auto call = std::make_shared<ServerCall>();
   calls_[stream] = call;
   call->connection_ = this;
@@ -114,7 +114,7 @@
   if (peer_.empty()) {
     const std::string* agent = http2::find(headers, "user-agent");
     peer_ = agent == nullptr ? "unknown" : *agent;
-    if (server_.silentTo && server_.silentTo(peer_)) freeze(true);
+    if (server_.silentTo && server_.silentTo(peer_)) suspend(true);
   }
   std::optional<Status> fault;
   if (overflow) {
@@ -149,8 +149,8 @@
   if (call == nullptr || call->finished_) return;
   call->reader_->add({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
   while (const auto message = call->reader_->next()) {
-    call->request_.assign(*message);
-    ++call->requests_;
+    call->requestMessage_.assign(*message);
+    ++call->messagesReceived_;
   }
   if (const auto fault = checkRequest(*call)) call->finish(*fault);
 }
@@ -168,7 +168,7 @@
     case MessageReader::Fault::kNone:
       break;
   }
-  if (call.requests_ > 1) return Status{Code::kUnimplemented, "more than one request message"};
+  if (call.messagesReceived_ > 1) return Status{Code::kUnimplemented, "more than one request message"};
   return std::nullopt;
 }
 
@@ -176,13 +176,14 @@
   const auto it = calls_.find(stream);
   if (it == calls_.end()) return;
   const std::shared_ptr<ServerCall> call = it->second;
-  call->remoteEnded_ = true;
+  call->remoteClosed_ = true;
   if (call->finished_) return;
-  if (call->reader_->midMessage()) return call->finish({Code::kInternal, "request ends inside a message"});
-  if (call->requests_ == 0) return call->finish({Code::kUnimplemented, "no request message"});
+  if (call->reader_->isInsideMessage())
+    return call->finish({Code::kInternal, "request ends inside a message"});
+  if (call->messagesReceived_ == 0) return call->finish({Code::kUnimplemented, "no request message"});
   if (session_.connection().isSuspended()) {
-    held_.push_back(call);
-    if (server_.onHeld) server_.onHeld(call, call->request_);
+    suspendedCalls_.push_back(call);
+    if (server_.onHeld) server_.onHeld(call, call->requestMessage_);
   } else {
     dispatch(call);
   }
@@ -192,14 +193,14 @@
   const auto handler = server_.handlers_.find(call->method_);
   if (!call->isOpen() || handler == server_.handlers_.end()) return;
   call->reader_.reset();
-  const std::string request = std::exchange(call->request_, {});
+  const std::string request = std::exchange(call->requestMessage_, {});
   handler->second(call, request);
 }
 
-void ServerConnection::freeze(bool frozen) {
+void ServerConnection::suspend(bool frozen) {
   session_.connection().suspend(frozen);
   if (frozen) return;
-  for (const auto& call : std::exchange(held_, {})) dispatch(call);
+  for (const auto& call : std::exchange(suspendedCalls_, {})) dispatch(call);
 }
 
 void ServerConnection::onDrained(http2::StreamId stream) {
@@ -226,11 +227,11 @@
   if (closed) closed();
 }
 
-void ServerConnection::endCalls() {
+void ServerConnection::closeCalls() {
   while (!calls_.empty()) onStreamClosed(calls_.begin()->first, http2::kInternalError);
 }
 
-void ServerConnection::onSessionClosed(const std::string&) { server_.retire(this); }
+void ServerConnection::onSessionClosed(const std::string&) { server_.scheduleRemoval(this); }
 
 // ---- Server ----
 Server::Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options)
@@ -248,7 +249,7 @@
   if (connections_.size() >= options_.maxConnections) listener_.pause(true);
 }
 
-void Server::retire(ServerConnection* connection) {
+void Server::scheduleRemoval(ServerConnection* connection) {
   if (onConnectionEnded) onConnectionEnded(*connection);
   loop_.defer([this, connection, alive = alive_] {
     if (!*alive) return;
@@ -259,7 +260,7 @@
 
 void Server::drain() {
   if (std::exchange(draining_, true)) return;
-  listener_.acceptWaiting();  // closing it would reset those that stand in its queue
+  listener_.acceptPending();  // closing it would reset those that stand in its queue
   listener_.close();
   for (auto& [key, connection] : connections_) connection->session_.goaway();
 }
@@ -272,7 +273,7 @@
 
 void Server::freeze(bool frozen, const std::function<bool(const std::string&)>& who) {
   for (auto& [key, connection] : connections_) {
-    if (!who || who(connection->peer())) connection->freeze(frozen);
+    if (!who || who(connection->peer())) connection->suspend(frozen);
   }
 }
 
@@ -288,8 +289,8 @@
   for (auto& [key, connection] : connections_) {
     if (!connection->session_.isOpen()) continue;
     connection->session_.abort();
-    connection->endCalls();
-    retire(connection.get());
+    connection->closeCalls();
+    scheduleRemoval(connection.get());
   }
 }
 
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -61,9 +61,9 @@
   ServerConnection* connection_ = nullptr;  // nullptr: over
   http2::StreamId stream_ = 0;
   std::unique_ptr<MessageReader> reader_;
-  std::string request_;
-  int requests_ = 0;
-  bool headersSent_ = false, finished_ = false, remoteEnded_ = false;
+  std::string requestMessage_;
+  int messagesReceived_ = 0;
+  bool headersSent_ = false, finished_ = false, remoteClosed_ = false;
 };
 
 using Handler = std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)>;
@@ -97,7 +97,7 @@
  private:
   friend class ServerConnection;
   void accept(int fd);
-  void retire(ServerConnection* connection);
+  void scheduleRemoval(ServerConnection* connection);
 
   net::Loop& loop_;
   ServerOptions options_;
@@ -130,17 +130,17 @@
   ServerCall* find(http2::StreamId stream);
   std::optional<Status> checkHeaders(ServerCall& call, const http2::Headers& headers);
   std::optional<Status> checkRequest(const ServerCall& call) const;
-  void answerHttp(http2::StreamId stream, const char* status);
+  void respondHttpError(http2::StreamId stream, const char* status);
   void dispatch(const std::shared_ptr<ServerCall>& call);
-  void freeze(bool frozen);
-  void endCalls();
+  void suspend(bool frozen);
+  void closeCalls();
 
   Server& server_;
   std::uint64_t id_;
   std::string peer_;
   http2::Session session_;
   std::unordered_map<http2::StreamId, std::shared_ptr<ServerCall>> calls_;
-  std::vector<std::shared_ptr<ServerCall>> held_;  // whole requests that came while silent
+  std::vector<std::shared_ptr<ServerCall>> suspendedCalls_;  // whole requests that came while silent
 };
 
 }  // namespace gannetcourse::grpc
--- a/src/http1/client.cpp
+++ b/src/http1/client.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "http1/life.h"
+#include "http1/connection_state.h"
 
 namespace gannetcourse::http1 {
 namespace {
@@ -20,95 +20,96 @@
 class ClientConnection final : public net::ConnectionOwner {
  public:
   ClientConnection(Client& client, const net::Endpoint& to)
-      : client_(client), connection_(client.loop_, *this), to_(to) {}
+      : client_(client), connection_(client.loop_, *this), endpoint_(to) {}
 
   // Opens a connection for a call; it may have ended when this returns.
   void open(CallId call, Client::HeadMaker head, std::shared_ptr<const std::string> body,
             std::shared_ptr<ResponseHandler> sink) {
-    begin(call, std::move(head), std::move(body), std::move(sink));
-    connection_.connect(to_, client_.options_.connectTimeout);
+    startCall(call, std::move(head), std::move(body), std::move(sink));
+    connection_.connect(endpoint_, client_.options_.connectTimeout);
   }
 
-  void begin(CallId call, Client::HeadMaker head, std::shared_ptr<const std::string> body,
-             std::shared_ptr<ResponseHandler> sink) {
+  void startCall(CallId call, Client::HeadMaker head, std::shared_ptr<const std::string> body,
+                 std::shared_ptr<ResponseHandler> sink) {
     call_ = call;
-    sink_ = std::move(sink);
-    head_ = std::move(head);
+    handler_ = std::move(sink);
+    makeHead_ = std::move(head);
     body_ = std::move(body);
-    sent_ = false;
-    putOffs_ = 0;
-    pieceSince_.reset();
+    requestSent_ = false;
+    sendDeferrals_ = 0;
+    partStartedAt_.reset();
     parser_ = std::make_unique<ResponseParser>(client_.options_.limits,
                                                ResponseParser::Told{[this](const ResponseHead& h) {
-                                                                      if (sink_) sink_->onHead(h);
+                                                                      if (handler_) handler_->onHead(h);
                                                                     },
                                                                     [this](std::string_view b) {
-                                                                      if (sink_) sink_->onBody(b);
+                                                                      if (handler_) handler_->onBody(b);
                                                                     }});
     if (connection_.isConnected()) sendRequest();
   }
 
   // Whether it can take a further call: what the kernel holds is read first, an end above all.
-  bool usable() {
+  bool isUsable() {
     if (connection_.isConnected()) connection_.readNow();
-    return life_.idle();
+    return state_.isIdle();
   }
 
   void cancel() {
-    sink_.reset();
+    handler_.reset();
     close();
   }
 
   void close() {
-    life_.handle(ClientEvent::kGivenUp);
+    state_.handle(ClientEvent::kAborted);
     connection_.close();
-    client_.drop(this);
+    client_.removeConnection(this);
   }
 
   void checkTimeouts(Instant now) {
-    if (life_.idle() && now - restsSince_ > client_.options_.idleTimeout) return close();
-    if (life_.phase() != ClientPhase::kCalling || connection_.isSuspended()) return;
-    if (pieceSince_ && now - *pieceSince_ > client_.options_.partialMessageTimeout)
+    if (state_.isIdle() && now - lastResponseAt_ > client_.options_.idleTimeout) return close();
+    if (state_.phase() != ClientPhase::kCallInProgress || connection_.isSuspended()) return;
+    if (partStartedAt_ && now - *partStartedAt_ > client_.options_.partialMessageTimeout)
       fail(CallResult::kMalformed, "a piece of its answer does not end");
   }
 
   // A call of which nothing has left yet is given up.
-  void stopUnsent() {
-    const bool called = life_.phase() == ClientPhase::kConnecting || life_.phase() == ClientPhase::kCalling;
-    if (called && !sent_) fail(CallResult::kNotConnected, "not wanted there any more");
+  void cancelUnsent() {
+    const bool called =
+        state_.phase() == ClientPhase::kConnecting || state_.phase() == ClientPhase::kCallInProgress;
+    if (called && !requestSent_) fail(CallResult::kNotConnected, "not wanted there any more");
   }
 
-  void freeze(bool frozen) {
+  void pauseReading(bool frozen) {
     connection_.suspend(frozen);
-    if (!frozen && pieceSince_) pieceSince_ = client_.loop_.now();  // the wait was ours
+    if (!frozen && partStartedAt_) partStartedAt_ = client_.loop_.now();  // the wait was ours
   }
-  const net::Endpoint& to() const { return to_; }
-  const ClientLife& life() const { return life_; }
-  Instant restsSince() const { return restsSince_; }
+  const net::Endpoint& endpoint() const { return endpoint_; }
+  const ClientConnectionState& state() const { return state_; }
+  Instant lastResponseAt() const { return lastResponseAt_; }
 
  private:
   friend class Client;
 
   void onConnected() override {
-    life_.handle(ClientEvent::kUp);
+    state_.handle(ClientEvent::kConnected);
     sendRequest();
   }
 
   void sendRequest() {
-    if (client_.loop_.exactNow() - client_.loop_.now() > kLongIteration && putOffs_ < kMostPutOffs)
-      return sendWithNextIteration();
-    sent_ = true;
-    connection_.append(head_());
+    if (client_.loop_.exactNow() - client_.loop_.now() > kLongIteration && sendDeferrals_ < kMostPutOffs)
+      return deferSend();
+    requestSent_ = true;
+    connection_.append(makeHead_());
     if (body_) connection_.append(*body_);
-    head_ = nullptr;
+    makeHead_ = nullptr;
     body_.reset();
     connection_.flush();
   }
 
   // What has come meanwhile is read first: its client may have left, its engine's drain or its time may have
   // come.
-  void sendWithNextIteration() {
-    ++putOffs_;
+  void deferSend() {
+    ++sendDeferrals_;
     client_.loop_.runAfter(net::Loop::kNextIteration,
                            [this, alive = client_.alive_, self = self_, call = call_] {
                              if (*alive && !self.expired() && call_ == call && connection_.isConnected())
@@ -119,30 +120,30 @@
   void onWritable() override {}
 
   void onBytes(std::span<const std::uint8_t> bytes) override {
-    if (!life_.handle(ClientEvent::kUnaskedBytes)) return close();
+    if (!state_.handle(ClientEvent::kBytesReceived)) return close();
     const ParseState state = parser_->take({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
-    if (life_.phase() != ClientPhase::kCalling) return;
-    watchPiece();
+    if (state_.phase() != ClientPhase::kCallInProgress) return;
+    trackPartialPart();
     if (state == ParseState::kMalformed) return fail(CallResult::kMalformed, "its answer cannot be read");
-    if (state == ParseState::kComplete) whole();
+    if (state == ParseState::kComplete) finishResponse();
   }
 
   // A head or chunk that goes on for ever, however steadily it comes, is no answer.
-  void watchPiece() {
-    const bool another = std::exchange(pieces_, parser_->pieces()) != parser_->pieces();
-    if (!parser_->midway()) return pieceSince_.reset();
-    if (another || !pieceSince_) pieceSince_ = client_.loop_.now();
+  void trackPartialPart() {
+    const bool another = std::exchange(partsSeen_, parser_->partsStarted()) != parser_->partsStarted();
+    if (!parser_->isInsidePart()) return partStartedAt_.reset();
+    if (another || !partStartedAt_) partStartedAt_ = client_.loop_.now();
   }
 
-  void whole() {
-    const std::shared_ptr<ResponseHandler> sink = std::move(sink_);
+  void finishResponse() {
+    const std::shared_ptr<ResponseHandler> sink = std::move(handler_);
     client_.calls_.erase(std::exchange(call_, 0));
-    restsSince_ = client_.loop_.now();
-    const bool keep =
-        parser_->reusable() && connection_.pendingBytes() == 0 && client_.retiredEndpoints_.count(to_) == 0;
-    if (life_.handle(keep ? ClientEvent::kAnswerKept : ClientEvent::kAnswerLast)) {
+    lastResponseAt_ = client_.loop_.now();
+    const bool keep = parser_->isConnectionReusable() && connection_.pendingBytes() == 0 &&
+                      client_.retiredEndpoints_.count(endpoint_) == 0;
+    if (state_.handle(keep ? ClientEvent::kResponseComplete : ClientEvent::kLastResponseComplete)) {
       client_.loop_.runAfter(client_.options_.settleDelay, [this, alive = client_.alive_, self = self_] {
-        if (*alive && !self.expired()) rested();
+        if (*alive && !self.expired()) becomeIdle();
       });
     } else {
       close();
@@ -151,19 +152,19 @@
   }
 
   // Nothing has come behind its answer: it may take a call.
-  void rested() {
-    if (life_.phase() != ClientPhase::kResting) return;
-    if (client_.retiredEndpoints_.count(to_) > 0) return close();
-    life_.handle(ClientEvent::kRestOver);
-    client_.idle_[to_].push_back(this);
+  void becomeIdle() {
+    if (state_.phase() != ClientPhase::kSettling) return;
+    if (client_.retiredEndpoints_.count(endpoint_) > 0) return close();
+    state_.handle(ClientEvent::kSettleTimeElapsed);
+    client_.idleConnections_[endpoint_].push_back(this);
   }
 
   void onClosed(const std::string& reason) override {
-    const bool written = sent_ && connection_.pendingBytes() == 0;
-    life_.handle(ClientEvent::kPeerEnded);
-    client_.drop(this);
-    if (!sink_) return;
-    if (connection_.failedLocally()) ++client_.localFaults_;
+    const bool written = requestSent_ && connection_.pendingBytes() == 0;
+    state_.handle(ClientEvent::kPeerClosed);
+    client_.removeConnection(this);
+    if (!handler_) return;
+    if (connection_.failedLocally()) ++client_.localConnectFailures_;
     const CallResult unsent =
         connection_.failedLocally() ? CallResult::kNoConnectionAvailable : CallResult::kNotConnected;
     endCall(written ? CallResult::kConnectionLost : unsent, reason);
@@ -171,28 +172,28 @@
 
   void fail(CallResult how, const std::string& why) {
     close();
-    if (sink_) endCall(how, why);
+    if (handler_) endCall(how, why);
   }
 
   void endCall(CallResult how, const std::string& why) {
-    client_.endLater(call_, std::exchange(sink_, nullptr), how, why);
+    client_.notifyEndLater(call_, std::exchange(handler_, nullptr), how, why);
   }
 
   Client& client_;
   net::Connection connection_;
-  net::Endpoint to_;
-  ClientLife life_;
+  net::Endpoint endpoint_;
+  ClientConnectionState state_;
   std::weak_ptr<ClientConnection> self_;
   std::unique_ptr<ResponseParser> parser_;
-  std::shared_ptr<ResponseHandler> sink_;
+  std::shared_ptr<ResponseHandler> handler_;
   CallId call_ = 0;
-  Client::HeadMaker head_;  // until they are sent
+  Client::HeadMaker makeHead_;  // until they are sent
   std::shared_ptr<const std::string> body_;
-  bool sent_ = false;
-  int putOffs_ = 0;
-  Instant restsSince_{};
-  std::optional<Instant> pieceSince_;  // since when a head or chunk is not whole
-  std::uint64_t pieces_ = 0;           // heads and chunks begun by then
+  bool requestSent_ = false;
+  int sendDeferrals_ = 0;
+  Instant lastResponseAt_{};
+  std::optional<Instant> partStartedAt_;  // since when a head or chunk is not whole
+  std::uint64_t partsSeen_ = 0;           // heads and chunks begun by then
 };
 
 Client::Client(net::Loop& loop, const ClientOptions& options) : loop_(loop), options_(options) {
@@ -207,39 +208,39 @@
 CallId Client::start(const net::Endpoint& to, HeadMaker head, std::shared_ptr<const std::string> body,
                      std::shared_ptr<ResponseHandler> sink) {
   const CallId call = ++lastCall_;
-  ClientConnection* connection = idleTo(to);
+  ClientConnection* connection = takeIdleConnection(to);
   if (connection != nullptr) {
     calls_[call] = connection;
-    connection->life_.handle(ClientEvent::kCall);
-    connection->begin(call, std::move(head), std::move(body), std::move(sink));
+    connection->state_.handle(ClientEvent::kCallStarted);
+    connection->startCall(call, std::move(head), std::move(body), std::move(sink));
     return call;
   }
-  if (connections_.size() >= options_.maxConnections && !makeRoom()) {
-    endLater(call, std::move(sink), CallResult::kNoConnectionAvailable, "no connection may be opened");
+  if (connections_.size() >= options_.maxConnections && !evictIdleConnection()) {
+    notifyEndLater(call, std::move(sink), CallResult::kNoConnectionAvailable, "no connection may be opened");
     return call;
   }
   connections_.push_back(std::make_shared<ClientConnection>(*this, to));
   connection = connections_.back().get();
   connection->self_ = connections_.back();
-  ++opened_;
+  ++connectionsOpened_;
   calls_[call] = connection;
   connection->open(call, std::move(head), std::move(body), std::move(sink));
   return call;
 }
 
 // An end is told at the end of this iteration: its call may not have been returned to its owner yet.
-void Client::endLater(CallId call, std::shared_ptr<ResponseHandler> sink, CallResult how,
-                      const std::string& why) {
-  ending_[call] = std::move(sink);
+void Client::notifyEndLater(CallId call, std::shared_ptr<ResponseHandler> sink, CallResult how,
+                            const std::string& why) {
+  pendingEnds_[call] = std::move(sink);
   loop_.defer([this, alive = alive_, call, how, why] {
     if (!*alive) return;
-    const auto ended = ending_.extract(call);
+    const auto ended = pendingEnds_.extract(call);
     if (!ended.empty()) ended.mapped()->onEnd(how, why);
   });
 }
 
 void Client::cancel(CallId call) {
-  ending_.erase(call);
+  pendingEnds_.erase(call);
   const auto it = calls_.find(call);
   if (it != calls_.end()) it->second->cancel();
 }
@@ -247,41 +248,43 @@
 void Client::cancelUnsent(const net::Endpoint& to) {
   const std::list<std::shared_ptr<ClientConnection>> all = connections_;
   for (const auto& c : all) {
-    if (c->to() == to) c->stopUnsent();
+    if (c->endpoint() == to) c->cancelUnsent();
   }
 }
 
 void Client::pauseReading(CallId call, bool frozen) {
   const auto it = calls_.find(call);
-  if (it != calls_.end()) it->second->freeze(frozen);
+  if (it != calls_.end()) it->second->pauseReading(frozen);
 }
 
-ClientConnection* Client::idleTo(const net::Endpoint& to) {
-  for (auto it = idle_.find(to); it != idle_.end() && !it->second.empty(); it = idle_.find(to)) {
+ClientConnection* Client::takeIdleConnection(const net::Endpoint& to) {
+  for (auto it = idleConnections_.find(to); it != idleConnections_.end() && !it->second.empty();
+       it = idleConnections_.find(to)) {
     ClientConnection* const newest = it->second.back();
     it->second.pop_back();
-    if (newest->usable()) return newest;
-    if (!newest->life().closed()) newest->close();
+    if (newest->isUsable()) return newest;
+    if (!newest->state().isClosed()) newest->close();
   }
   return nullptr;
 }
 
 bool Client::hasIdleConnection(const net::Endpoint& to) const {
-  const auto it = idle_.find(to);
-  return it != idle_.end() && !it->second.empty();
+  const auto it = idleConnections_.find(to);
+  return it != idleConnections_.end() && !it->second.empty();
 }
 
 std::size_t Client::idleConnectionCount() const {
   std::size_t sum = 0;
-  for (const auto& [to, connections] : idle_) sum += connections.size();
+  for (const auto& [to, connections] : idleConnections_) sum += connections.size();
   return sum;
 }
 
 // Closes the connection that has been idle for longest.
-bool Client::makeRoom() {
+bool Client::evictIdleConnection() {
   ClientConnection* oldest = nullptr;
   for (const auto& c : connections_) {
-    if (c->life().unused() && (oldest == nullptr || c->restsSince() < oldest->restsSince())) oldest = c.get();
+    if (c->state().hasNoCall() && (oldest == nullptr || c->lastResponseAt() < oldest->lastResponseAt()))
+      oldest = c.get();
   }
   if (oldest == nullptr) return false;
   oldest->close();
@@ -290,29 +293,29 @@
 
 void Client::retireEndpoint(const net::Endpoint& to) {
   retiredEndpoints_.insert(to);
-  const auto it = idle_.find(to);
-  if (it == idle_.end()) return;
+  const auto it = idleConnections_.find(to);
+  if (it == idleConnections_.end()) return;
   for (ClientConnection* const c : std::vector<ClientConnection*>(it->second)) c->close();
-  idle_.erase(to);
+  idleConnections_.erase(to);
 }
 
 void Client::sweep() {
   const std::list<std::shared_ptr<ClientConnection>> all = connections_;
   for (const auto& c : all) {
-    if (!c->life().closed()) c->checkTimeouts(loop_.now());
+    if (!c->state().isClosed()) c->checkTimeouts(loop_.now());
   }
   sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
-void Client::drop(ClientConnection* connection) {
+void Client::removeConnection(ClientConnection* connection) {
   const auto it = std::find_if(connections_.begin(), connections_.end(),
                                [&](const auto& c) { return c.get() == connection; });
   if (it == connections_.end()) return;  // dropped before
   calls_.erase(connection->call_);
-  const auto idle = idle_.find(connection->to());
-  if (idle != idle_.end()) {
+  const auto idle = idleConnections_.find(connection->endpoint());
+  if (idle != idleConnections_.end()) {
     std::erase(idle->second, connection);
-    if (idle->second.empty()) idle_.erase(idle);
+    if (idle->second.empty()) idleConnections_.erase(idle);
   }
   loop_.defer([gone = *it] {});
   connections_.erase(it);
--- a/src/http1/client.h
+++ b/src/http1/client.h
@@ -74,29 +74,30 @@
 
   std::size_t connectionCount() const { return connections_.size(); }
   std::size_t idleConnectionCount() const;  // connections that a call may use
-  std::uint64_t connectionsOpened() const { return opened_; }
+  std::uint64_t connectionsOpened() const { return connectionsOpened_; }
   std::uint64_t localConnectFailures() const {
-    return localFaults_;
+    return localConnectFailures_;
   }  // calls for which this machine could open none
 
  private:
   friend class ClientConnection;
-  ClientConnection* idleTo(const net::Endpoint& to);
-  bool makeRoom();
+  ClientConnection* takeIdleConnection(const net::Endpoint& to);
+  bool evictIdleConnection();
   void sweep();
-  void drop(ClientConnection* connection);
-  void endLater(CallId call, std::shared_ptr<ResponseHandler> sink, CallResult how, const std::string& why);
+  void removeConnection(ClientConnection* connection);
+  void notifyEndLater(CallId call, std::shared_ptr<ResponseHandler> sink, CallResult how,
+                      const std::string& why);
 
   net::Loop& loop_;
   ClientOptions options_;
   std::list<std::shared_ptr<ClientConnection>> connections_;
-  std::map<net::Endpoint, std::vector<ClientConnection*>> idle_;  // newest last
+  std::map<net::Endpoint, std::vector<ClientConnection*>> idleConnections_;  // newest last
   std::map<CallId, ClientConnection*> calls_;
   std::map<CallId, std::shared_ptr<ResponseHandler>>
-      ending_;  // whose end is told at the end of this iteration
+      pendingEnds_;  // whose end is told at the end of this iteration
   std::set<net::Endpoint> retiredEndpoints_;
   CallId lastCall_ = 0;
-  std::uint64_t opened_ = 0, localFaults_ = 0;
+  std::uint64_t connectionsOpened_ = 0, localConnectFailures_ = 0;
   net::TimerId sweepTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/http1/parser.cpp
+++ b/src/http1/parser.cpp
@@ -132,8 +132,8 @@
 }
 
 std::size_t Fields::count(std::string_view name) const {
-  return static_cast<std::size_t>(
-      std::count_if(fields_.begin(), fields_.end(), [&](const auto& f) { return equalsIgnoreCase(f.first, name); }));
+  return static_cast<std::size_t>(std::count_if(
+      fields_.begin(), fields_.end(), [&](const auto& f) { return equalsIgnoreCase(f.first, name); }));
 }
 
 class RequestParser::Impl {
@@ -179,12 +179,12 @@
 bool RequestParser::append(std::string_view bytes) { return impl_->append(bytes); }
 ParseState RequestParser::parse() { return impl_->parse(); }
 Request& RequestParser::request() { return impl_->request_; }
-int RequestParser::status() const { return impl_->status_; }
+int RequestParser::errorStatus() const { return impl_->status_; }
 bool RequestParser::started() const { return !impl_->kept_.empty() || impl_->parser_->got_some(); }
-std::uint64_t RequestParser::held() const {
+std::uint64_t RequestParser::bufferedBytes() const {
   return impl_->kept_.capacity() + impl_->request_.body.capacity();
 }
-std::size_t RequestParser::waiting() const { return impl_->kept_.size(); }
+std::size_t RequestParser::unparsedBytes() const { return impl_->kept_.size(); }
 void RequestParser::next() { impl_->next(); }
 
 class ResponseParser::Impl {
@@ -246,9 +246,9 @@
     : impl_(std::make_unique<Impl>(limits, std::move(told))) {}
 ResponseParser::~ResponseParser() = default;
 ParseState ResponseParser::take(std::string_view bytes) { return impl_->take(bytes); }
-bool ResponseParser::midway() const { return impl_->midway(); }
-std::uint64_t ResponseParser::pieces() const { return impl_->parser_->pieces; }
-bool ResponseParser::reusable() const {
+bool ResponseParser::isInsidePart() const { return impl_->midway(); }
+std::uint64_t ResponseParser::partsStarted() const { return impl_->parser_->pieces; }
+bool ResponseParser::isConnectionReusable() const {
   return impl_->state_ == ParseState::kComplete && !impl_->behind_ && impl_->parser_->keep_alive();
 }
 
--- a/src/http1/parser.h
+++ b/src/http1/parser.h
@@ -55,11 +55,11 @@
   bool append(std::string_view bytes);
   ParseState parse();
   Request& request();
-  int status() const;           // what to answer to one that is kBad
-  bool started() const;         // bytes of a request that is not whole have come
-  std::uint64_t held() const;   // bytes of memory it keeps for the request
-  std::size_t waiting() const;  // bytes not read as part of a request yet
-  void next();                  // after kWhole: what waits behind it is the next request
+  int errorStatus() const;              // what to answer to one that is kBad
+  bool started() const;                 // bytes of a request that is not whole have come
+  std::uint64_t bufferedBytes() const;  // bytes of memory it keeps for the request
+  std::size_t unparsedBytes() const;    // bytes not read as part of a request yet
+  void next();                          // after kWhole: what waits behind it is the next request
 
  private:
   class Impl;
@@ -84,9 +84,9 @@
   ResponseParser& operator=(const ResponseParser&) = delete;
 
   ParseState take(std::string_view bytes);
-  bool midway() const;           // inside a head or a chunk: more must come
-  std::uint64_t pieces() const;  // heads and chunks begun so far
-  bool reusable() const;         // whole, nothing behind it, and its sender keeps the connection
+  bool isInsidePart() const;           // inside a head or a chunk: more must come
+  std::uint64_t partsStarted() const;  // heads and chunks begun so far
+  bool isConnectionReusable() const;   // whole, nothing behind it, and its sender keeps the connection
 
  private:
   class Impl;
--- a/src/http1/server.cpp
+++ b/src/http1/server.cpp
@@ -21,16 +21,16 @@
   if (connection_ != nullptr) connection_->respond(status, fields, body, close);
 }
 void Exchange::beginStream(std::string_view fields) {
-  if (connection_ != nullptr) connection_->begin(fields);
+  if (connection_ != nullptr) connection_->beginStream(fields);
 }
 void Exchange::sendChunk(std::string_view bytes) {
-  if (connection_ != nullptr) connection_->chunk(bytes);
+  if (connection_ != nullptr) connection_->sendChunk(bytes);
 }
 void Exchange::endStream() {
-  if (connection_ != nullptr) connection_->end();
+  if (connection_ != nullptr) connection_->endStream();
 }
 void Exchange::abortStream() {
-  if (connection_ != nullptr) connection_->cut();
+  if (connection_ != nullptr) connection_->abortStream();
 }
 
 Server::Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options, Handler handler)
@@ -49,40 +49,40 @@
 void Server::setOptions(const ServerOptions& options) { options_ = options; }
 
 void Server::accept(int fd) {
-  if (connections_.size() >= options_.maxConnections && !makeRoom()) {
-    ++counts_.closedAtLimit;
+  if (connections_.size() >= options_.maxConnections && !evictConnection()) {
+    ++counters_.closedAtLimit;
     ::close(fd);
     return;
   }
-  ++counts_.accepted;
+  ++counters_.accepted;
   connections_.push_back(std::make_unique<ServerConnection>(*this, fd));
 }
 
 // Closes a connection that is ended already, else the one that has gone longest without a request; those that
 // never had one go first. What the kernel holds of a request is read before its connection is chosen for
 // good.
-bool Server::makeRoom() {
+bool Server::evictConnection() {
   for (std::size_t tries = connections_.size(); tries > 0; --tries) {
-    ServerConnection* const victim = evictable();
+    ServerConnection* const victim = chooseEvictable();
     if (victim == nullptr) return false;
-    if (victim->readWaiting()) continue;
-    if (*victim->dropped_) return true;  // its client had left
-    ++counts_.evicted;
+    if (victim->readPendingRequest()) continue;
+    if (*victim->removed_) return true;  // its client had left
+    ++counters_.evicted;
     victim->close();
     return true;
   }
   return false;
 }
 
-ServerConnection* Server::evictable() const {
+ServerConnection* Server::chooseEvictable() const {
   ServerConnection* victim = nullptr;
   for (const auto& c : connections_) {
-    const ServerPhase phase = c->life_.phase();
-    const bool begun = c->asked_ && phase == ServerPhase::kReceiving;
-    if (phase == ServerPhase::kAnswering || phase == ServerPhase::kFlushing || *c->dropped_ || begun)
+    const ServerPhase phase = c->state_.phase();
+    const bool begun = c->hadRequest_ && phase == ServerPhase::kReceiving;
+    if (phase == ServerPhase::kResponding || phase == ServerPhase::kFlushing || *c->removed_ || begun)
       continue;
     const auto rank = [](const ServerConnection& s) {
-      return std::tuple(s.life_.phase() != ServerPhase::kLingering, s.asked_, s.since_);
+      return std::tuple(s.state_.phase() != ServerPhase::kLingering, s.hadRequest_, s.phaseStartedAt_);
     };
     if (victim == nullptr || rank(*c) < rank(*victim)) victim = c.get();
   }
@@ -97,7 +97,7 @@
   all.reserve(connections_.size());
   for (const auto& c : connections_) all.push_back(c.get());
   for (ServerConnection* const c : all) {
-    if (!*c->dropped_) step(*c);
+    if (!*c->removed_) step(*c);
   }
 }
 
@@ -106,8 +106,8 @@
   sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
-void Server::drop(ServerConnection* connection) {
-  if (std::exchange(*connection->dropped_, true)) return;
+void Server::removeConnection(ServerConnection* connection) {
+  if (std::exchange(*connection->removed_, true)) return;
   const auto it = std::find_if(connections_.begin(), connections_.end(),
                                [&](const auto& c) { return c.get() == connection; });
   std::shared_ptr<ServerConnection> gone(it->release());
@@ -122,27 +122,27 @@
 
 void Server::shutdown() {
   draining_ = true;
-  endsBy_ = loop_.now() + kQueueWithin;
+  closeListenerBy_ = loop_.now() + kQueueWithin;
   closeListener();
 }
 
 // Closing the listener would reset those that stand in its queue.
 void Server::closeListener() {
-  if (!listener_.acceptWaiting() && loop_.now() < *endsBy_) {
+  if (!listener_.acceptPending() && loop_.now() < *closeListenerBy_) {
     loop_.runAfter(kQueueAgain, [this, alive = alive_] {
       if (*alive) closeListener();
     });
     return;
   }
-  endsBy_.reset();
+  closeListenerBy_.reset();
   listener_.close();
-  forEachConnection([](ServerConnection& c) { c.endUnlessAsked(); });
+  forEachConnection([](ServerConnection& c) { c.closeUnlessRequested(); });
 }
 
 std::size_t Server::busyCount() const {
   const auto busy = std::count_if(connections_.begin(), connections_.end(),
-                                  [](const auto& c) { return !c->life().resting(); });
-  return static_cast<std::size_t>(busy) + (endsBy_ ? 1 : 0);
+                                  [](const auto& c) { return !c->state().isBetweenRequests(); });
+  return static_cast<std::size_t>(busy) + (closeListenerBy_ ? 1 : 0);
 }
 
 std::size_t Server::unsentBytes() const {
@@ -151,9 +151,9 @@
   return sum;
 }
 
-std::uint64_t Server::held() const {
+std::uint64_t Server::bufferedRequestBytes() const {
   std::uint64_t sum = 0;
-  for (const auto& c : connections_) sum += c->held();
+  for (const auto& c : connections_) sum += c->bufferedBytes();
   return sum;
 }
 
--- a/src/http1/server.h
+++ b/src/http1/server.h
@@ -78,28 +78,28 @@
   std::size_t busyCount() const;
   std::size_t unsentBytes() const;  // of answers that clients have not taken
   std::uint64_t failedAccepts() const { return listener_.failedAccepts(); }
-  const ServerCounters& counters() const { return counts_; }
+  const ServerCounters& counters() const { return counters_; }
 
  private:
   friend class ServerConnection;
   using Connections = std::list<std::unique_ptr<ServerConnection>>;
   void accept(int fd);
-  bool makeRoom();
-  ServerConnection* evictable() const;
+  bool evictConnection();
+  ServerConnection* chooseEvictable() const;
   template <class Step>
   void forEachConnection(const Step& step);
   void sweep();
   void closeListener();
-  void drop(ServerConnection* connection);  // at the end of this iteration
-  std::uint64_t held() const;
+  void removeConnection(ServerConnection* connection);  // at the end of this iteration
+  std::uint64_t bufferedRequestBytes() const;
 
   net::Loop& loop_;
   ServerOptions options_;
   Handler handler_;
   Connections connections_;
-  ServerCounters counts_;
+  ServerCounters counters_;
   bool draining_ = false;
-  std::optional<Instant> endsBy_;  // while end() waits for the queue: when it waits no more
+  std::optional<Instant> closeListenerBy_;  // while end() waits for the queue: when it waits no more
   net::TimerId sweepTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   net::Listener listener_;
--- a/src/http1/server_connection.cpp
+++ b/src/http1/server_connection.cpp
@@ -49,91 +49,94 @@
     : server_(server),
       connection_(server.loop_, *this),
       parser_(server.options_.limits),
-      since_(server.loop_.now()) {
+      phaseStartedAt_(server.loop_.now()) {
   connection_.adopt(fd);
 }
 
 void ServerConnection::respond(int status, std::string_view fields, std::string_view body, bool close) {
-  const bool last = close || !keep_ || server_.draining_;
+  const bool last = close || !keepAlive_ || server_.draining_;
   std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
   text.append(fields).append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   if (last) text += "Connection: close\r\n";
   text.append("\r\n").append(body);
   connection_.append(text);
-  answered(last);
+  finishResponse(last);
 }
 
-void ServerConnection::begin(std::string_view fields) {
+void ServerConnection::beginStream(std::string_view fields) {
   std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
-  text.append(fields).append(keep_ && !server_.draining_ ? "\r\n" : "Connection: close\r\n\r\n");
+  text.append(fields).append(keepAlive_ && !server_.draining_ ? "\r\n" : "Connection: close\r\n\r\n");
   connection_.append(text);
 }
 
-void ServerConnection::chunk(std::string_view bytes) {
+void ServerConnection::sendChunk(std::string_view bytes) {
   std::string text = hexOf(bytes.size()) + "\r\n";
   text.append(bytes).append("\r\n");
   connection_.append(text);
   connection_.flush();
-  if (exchange_ && !connection_.wantsOutput() && !std::exchange(paused_, true) && exchange_->onBackpressure)
+  if (exchange_ && !connection_.wantsOutput() && !std::exchange(backpressure_, true) &&
+      exchange_->onBackpressure)
     exchange_->onBackpressure(true);
 }
 
-bool ServerConnection::readWaiting() {
-  const bool mayAsk = life_.resting() || life_.phase() == ServerPhase::kReceiving;
+bool ServerConnection::readPendingRequest() {
+  const bool mayAsk = state_.isBetweenRequests() || state_.phase() == ServerPhase::kReceiving;
   if (!mayAsk || !connection_.isConnected()) return false;
-  const std::uint64_t before = served_;
+  const std::uint64_t before = requestsDispatched_;
   connection_.readNow();
-  return served_ != before;
+  return requestsDispatched_ != before;
 }
 
-void ServerConnection::endUnlessAsked() {
-  if (life_.resting() && connection_.isConnected()) connection_.readNow();
-  if (life_.resting()) handleEvent(ServerEvent::kTimedOut);
+void ServerConnection::closeUnlessRequested() {
+  if (state_.isBetweenRequests() && connection_.isConnected()) connection_.readNow();
+  if (state_.isBetweenRequests()) handleEvent(ServerEvent::kTimedOut);
 }
 
 void ServerConnection::checkTimeouts(Instant now) {
-  if (connection_.pendingBytes() == 0 || connection_.pendingBytes() != lastPending_) progressAt_ = now;
-  lastPending_ = connection_.pendingBytes();
-  if (now <= phaseEndsBy()) return;
-  ++server_.counts_.timedOut;
+  if (connection_.pendingBytes() == 0 || connection_.pendingBytes() != lastPendingBytes_)
+    lastProgressAt_ = now;
+  lastPendingBytes_ = connection_.pendingBytes();
+  if (now <= phaseDeadline()) return;
+  ++server_.counters_.timedOut;
   handleEvent(ServerEvent::kTimedOut);
 }
 
-Instant ServerConnection::phaseEndsBy() const {
+Instant ServerConnection::phaseDeadline() const {
   const ServerOptions& o = server_.options_;
-  switch (life_.phase()) {
-    case ServerPhase::kFresh:
+  switch (state_.phase()) {
+    case ServerPhase::kNew:
     case ServerPhase::kReceiving:
-      return since_ + o.requestTimeout;
+      return phaseStartedAt_ + o.requestTimeout;
     case ServerPhase::kIdle:
-      return connection_.pendingBytes() > 0 ? progressAt_ + o.writeStallTimeout : since_ + o.idleTimeout;
-    case ServerPhase::kAnswering:
-      return std::max(since_, progressAt_) + o.writeStallTimeout;
+      return connection_.pendingBytes() > 0 ? lastProgressAt_ + o.writeStallTimeout
+                                            : phaseStartedAt_ + o.idleTimeout;
+    case ServerPhase::kResponding:
+      return std::max(phaseStartedAt_, lastProgressAt_) + o.writeStallTimeout;
     case ServerPhase::kFlushing:
-      return std::max(since_, progressAt_) + o.requestTimeout;
+      return std::max(phaseStartedAt_, lastProgressAt_) + o.requestTimeout;
     default:
-      return since_ + o.lingerTimeout;
+      return phaseStartedAt_ + o.lingerTimeout;
   }
 }
 
 void ServerConnection::handleEvent(ServerEvent event) {
-  const ServerPhase before = life_.phase();
-  const ServerAction action = life_.handle(event);
-  if (life_.phase() != before) since_ = server_.loop_.now();
+  const ServerPhase before = state_.phase();
+  const ServerAction action = state_.handle(event);
+  if (state_.phase() != before) phaseStartedAt_ = server_.loop_.now();
   switch (action) {
-    case ServerAction::kServe:
-      return serve();
-    case ServerAction::kReject:
-      return refuse(event == ServerEvent::kTimedOut ? 408 : rejectStatus_);
-    case ServerAction::kFlush:
-      return flushed();
-    case ServerAction::kEndSending:
+    case ServerAction::kDispatchRequest:
+      return dispatchRequest();
+    case ServerAction::kRejectRequest:
+      return sendRejection(event == ServerEvent::kTimedOut ? 408 : rejectStatus_);
+    case ServerAction::kFlushOutput:
+      return continueAfterFlush();
+    case ServerAction::kShutdownWrite:
       return connection_.shutdownWrite();
-    case ServerAction::kClientGone:
-      gone();
+    case ServerAction::kCloseAndNotify:
+      notifyClientDisconnected();
       return close();
     case ServerAction::kClose:
-      detach();
+      detachExchange();
       return close();
     case ServerAction::kNone:
       return;
@@ -141,104 +144,107 @@
 }
 
 void ServerConnection::onBytes(std::span<const std::uint8_t> bytes) {
-  if (!life_.reads()) return discard(bytes.size());
+  if (!state_.isReadingRequests()) return discardInput(bytes.size());
   if (!parser_.append({reinterpret_cast<const char*>(bytes.data()), bytes.size()}))
-    return life_.answering() ? handleEvent(ServerEvent::kPeerEnded) : reject(413);
-  if (exchange_) return holdReading(ahead());  // for later: past the bound the client has to wait
-  if (life_.phase() == ServerPhase::kIdle && unreadOutput()) return holdReading(true);
-  handleEvent(ServerEvent::kBytes);
-  parse();
-  if (life_.phase() == ServerPhase::kIdle) holdReading(ahead());  // answered at once; the rest takes its turn
+    return state_.isResponding() ? handleEvent(ServerEvent::kPeerClosed) : rejectInput(413);
+  if (exchange_)
+    return setReadingPaused(isPipelineFull());  // for later: past the bound the client has to wait
+  if (state_.phase() == ServerPhase::kIdle && isOutputFull()) return setReadingPaused(true);
+  handleEvent(ServerEvent::kBytesReceived);
+  parseInput();
+  if (state_.phase() == ServerPhase::kIdle)
+    setReadingPaused(isPipelineFull());  // answered at once; the rest takes its turn
 }
 
-void ServerConnection::discard(std::size_t bytes) {
-  discarded_ += bytes;
-  if (discarded_ > server_.options_.limits.maxBodyBytes) handleEvent(ServerEvent::kPeerEnded);
+void ServerConnection::discardInput(std::size_t bytes) {
+  discardedBytes_ += bytes;
+  if (discardedBytes_ > server_.options_.limits.maxBodyBytes) handleEvent(ServerEvent::kPeerClosed);
 }
 
-void ServerConnection::parse() {
+void ServerConnection::parseInput() {
   const ParseState state = parser_.parse();
-  if (state == ParseState::kMalformed) return reject(parser_.status());
-  if (state == ParseState::kComplete) return handleEvent(ServerEvent::kRequestWhole);
-  if (parser_.held() > server_.options_.limits.maxHeadBytes &&
-      server_.held() > server_.options_.maxBufferedRequestBytes)
-    return reject(503);
-  holdReading(false);
+  if (state == ParseState::kMalformed) return rejectInput(parser_.errorStatus());
+  if (state == ParseState::kComplete) return handleEvent(ServerEvent::kRequestComplete);
+  if (parser_.bufferedBytes() > server_.options_.limits.maxHeadBytes &&
+      server_.bufferedRequestBytes() > server_.options_.maxBufferedRequestBytes)
+    return rejectInput(503);
+  setReadingPaused(false);
 }
 
-void ServerConnection::serve() {
+void ServerConnection::dispatchRequest() {
   exchange_ = std::make_shared<Exchange>(this);
   exchange_->request = std::move(parser_.request());
-  keep_ = exchange_->request.keepAlive;
+  keepAlive_ = exchange_->request.keepAlive;
   parser_.next();
-  asked_ = true;
-  ++served_;
+  hadRequest_ = true;
+  ++requestsDispatched_;
   const std::shared_ptr<Exchange> held = exchange_;
   server_.handler_(held);
 }
 
-void ServerConnection::reject(int status) {
+void ServerConnection::rejectInput(int status) {
   rejectStatus_ = status;
-  handleEvent(ServerEvent::kUnreadable);
+  handleEvent(ServerEvent::kRequestMalformed);
 }
 
-void ServerConnection::refuse(int status) {
-  ++server_.counts_.rejected;
-  keep_ = false;
+void ServerConnection::sendRejection(int status) {
+  ++server_.counters_.rejected;
+  keepAlive_ = false;
   respond(status, "", "the request cannot be read or did not come in time\n", true);
 }
 
-void ServerConnection::answered(bool last) {
-  detach();
-  paused_ = false;
-  handleEvent(last ? ServerEvent::kAnsweredLast : ServerEvent::kAnswered);
+void ServerConnection::finishResponse(bool last) {
+  detachExchange();
+  backpressure_ = false;
+  handleEvent(last ? ServerEvent::kLastResponseComplete : ServerEvent::kResponseComplete);
   connection_.flush();
   if (!connection_.isOpen()) return;
-  if (life_.phase() == ServerPhase::kFlushing) return flushed();
-  if (parser_.started() && life_.phase() == ServerPhase::kIdle) {
-    server_.loop_.defer([this, alive = server_.alive_, dropped = dropped_] {
-      if (*alive && !*dropped && life_.phase() == ServerPhase::kIdle) nextAhead();
+  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
+  if (parser_.started() && state_.phase() == ServerPhase::kIdle) {
+    server_.loop_.defer([this, alive = server_.alive_, dropped = removed_] {
+      if (*alive && !*dropped && state_.phase() == ServerPhase::kIdle) parsePipelined();
     });
   }
 }
 
-bool ServerConnection::ahead() const {
+bool ServerConnection::isPipelineFull() const {
   const std::size_t most = server_.options_.limits.maxPipelinedBytes;
-  if (parser_.waiting() < most / 8) return false;
-  return parser_.waiting() >= most || server_.held() > server_.options_.maxBufferedRequestBytes;
+  if (parser_.unparsedBytes() < most / 8) return false;
+  return parser_.unparsedBytes() >= most ||
+         server_.bufferedRequestBytes() > server_.options_.maxBufferedRequestBytes;
 }
 
-void ServerConnection::nextAhead() {
-  if (unreadOutput()) return;  // onWritable() goes on
-  holdReading(ahead());
-  if (life_.phase() != ServerPhase::kIdle || !parser_.started()) return;  // it has gone, or has been read
-  handleEvent(ServerEvent::kBytes);
-  parse();
+void ServerConnection::parsePipelined() {
+  if (isOutputFull()) return;  // onWritable() goes on
+  setReadingPaused(isPipelineFull());
+  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;  // it has gone, or has been read
+  handleEvent(ServerEvent::kBytesReceived);
+  parseInput();
 }
 
-void ServerConnection::flushed() {
+void ServerConnection::continueAfterFlush() {
   if (connection_.pendingBytes() > 0) return;
-  holdReading(false);
-  handleEvent(ServerEvent::kFlushed);
+  setReadingPaused(false);
+  handleEvent(ServerEvent::kOutputFlushed);
 }
 
 void ServerConnection::onWritable() {
-  if (life_.phase() == ServerPhase::kFlushing) return flushed();
-  if (life_.phase() == ServerPhase::kIdle) return nextAhead();
-  if (exchange_ && std::exchange(paused_, false) && exchange_->onBackpressure)
+  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
+  if (state_.phase() == ServerPhase::kIdle) return parsePipelined();
+  if (exchange_ && std::exchange(backpressure_, false) && exchange_->onBackpressure)
     exchange_->onBackpressure(false);
 }
 
-void ServerConnection::gone() {
-  ++server_.counts_.abandoned;
+void ServerConnection::notifyClientDisconnected() {
+  ++server_.counters_.abandoned;
   const std::shared_ptr<Exchange> left = exchange_;
-  detach();
+  detachExchange();
   if (left && left->onClientDisconnected) left->onClientDisconnected();
 }
 
 void ServerConnection::close() {
   connection_.close();
-  server_.drop(this);
+  server_.removeConnection(this);
 }
 
 }  // namespace gannetcourse::http1
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -32,51 +32,51 @@
 
 // nghttp2's callbacks; each finds its session and passes on.
 struct Session::Callbacks {
-  static Session& of(void* user) { return *static_cast<Session*>(user); }
+  static Session& sessionOf(void* user) { return *static_cast<Session*>(user); }
 
-  static int beginFrame(nghttp2_session*, const nghttp2_frame_hd* frame, void* user) {
-    Session& self = of(user);
+  static int onBeginFrame(nghttp2_session*, const nghttp2_frame_hd* frame, void* user) {
+    Session& self = sessionOf(user);
     const bool speaks = frame->type == NGHTTP2_HEADERS || frame->type == NGHTTP2_DATA;
-    const auto& ended = self.endedWell_;
+    const auto& ended = self.recentlyClosed_;
     if (speaks && std::find(ended.begin(), ended.end(), frame->stream_id) != ended.end())
       self.owner_.onStrayFrame(frame->stream_id);
     return 0;
   }
 
-  static int beginHeaders(nghttp2_session*, const nghttp2_frame* frame, void* user) {
-    Stream& stream = of(user).streams_[frame->hd.stream_id];
-    stream.incoming.clear();
-    stream.incomingBytes = 0;
-    stream.overflow = false;
+  static int onBeginHeaders(nghttp2_session*, const nghttp2_frame* frame, void* user) {
+    Stream& stream = sessionOf(user).streams_[frame->hd.stream_id];
+    stream.headers.clear();
+    stream.headerBytes = 0;
+    stream.headersOverflow = false;
     return 0;
   }
 
-  static int header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
-                    std::size_t nameSize, const std::uint8_t* value, std::size_t valueSize, std::uint8_t,
-                    void* user) {
-    Session& self = of(user);
+  static int onHeader(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
+                      std::size_t nameSize, const std::uint8_t* value, std::size_t valueSize, std::uint8_t,
+                      void* user) {
+    Session& self = sessionOf(user);
     Stream* stream = self.find(frame->hd.stream_id);
     if (stream == nullptr) return 0;
-    stream->incomingBytes += nameSize + valueSize + 32;  // as RFC 9113 counts a field
-    if (stream->incomingBytes > self.limits_.maxHeaderBytes) {
-      stream->overflow = true;
-      const bool flood = stream->incomingBytes > kOverflowFactor * self.limits_.maxHeaderBytes;
+    stream->headerBytes += nameSize + valueSize + 32;  // as RFC 9113 counts a field
+    if (stream->headerBytes > self.limits_.maxHeaderBytes) {
+      stream->headersOverflow = true;
+      const bool flood = stream->headerBytes > kOverflowFactor * self.limits_.maxHeaderBytes;
       return flood ? NGHTTP2_ERR_CALLBACK_FAILURE : 0;
     }
-    stream->incoming.push_back({std::string(reinterpret_cast<const char*>(name), nameSize),
-                                std::string(reinterpret_cast<const char*>(value), valueSize)});
+    stream->headers.push_back({std::string(reinterpret_cast<const char*>(name), nameSize),
+                               std::string(reinterpret_cast<const char*>(value), valueSize)});
     return 0;
   }
 
-  static int frame(nghttp2_session*, const nghttp2_frame* frame, void* user) {
-    Session& self = of(user);
+  static int onFrame(nghttp2_session*, const nghttp2_frame* frame, void* user) {
+    Session& self = sessionOf(user);
     const StreamId id = frame->hd.stream_id;
     const bool end = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
     switch (frame->hd.type) {
       case NGHTTP2_HEADERS: {
         Stream* stream = self.find(id);
         if (stream == nullptr) return 0;
-        self.owner_.onHeaders(id, std::exchange(stream->incoming, {}), stream->overflow);
+        self.owner_.onHeaders(id, std::exchange(stream->headers, {}), stream->headersOverflow);
         if (end) self.owner_.onRemoteEnd(id);
         return 0;
       }
@@ -95,45 +95,46 @@
     }
   }
 
-  static int data(nghttp2_session* session, std::uint8_t, std::int32_t id, const std::uint8_t* bytes,
-                  std::size_t size, void* user) {
+  static int onDataChunk(nghttp2_session* session, std::uint8_t, std::int32_t id, const std::uint8_t* bytes,
+                         std::size_t size, void* user) {
     nghttp2_session_consume_connection(session, size);
-    of(user).owner_.onData(id, {bytes, size});
+    sessionOf(user).owner_.onData(id, {bytes, size});
     return 0;
   }
 
-  static int streamClosed(nghttp2_session*, std::int32_t id, std::uint32_t code, void* user) {
-    Session& self = of(user);
-    if (id == self.lastId_) self.lastId_ = -1;
+  static int onStreamClose(nghttp2_session*, std::int32_t id, std::uint32_t code, void* user) {
+    Session& self = sessionOf(user);
+    if (id == self.cachedStreamId_) self.cachedStreamId_ = -1;
     if (self.streams_.erase(id) == 0) return 0;
-    if (code == NGHTTP2_NO_ERROR) self.endedWell_[self.endedAt_++ % self.endedWell_.size()] = id;
+    if (code == NGHTTP2_NO_ERROR)
+      self.recentlyClosed_[self.recentlyClosedCount_++ % self.recentlyClosed_.size()] = id;
     self.owner_.onStreamClosed(id, code);
     return 0;
   }
 
-  static int frameSent(nghttp2_session* session, const nghttp2_frame* frame, void* user) {
-    const Stream* stream = of(user).find(frame->hd.stream_id);
+  static int onFrameSent(nghttp2_session* session, const nghttp2_frame* frame, void* user) {
+    const Stream* stream = sessionOf(user).find(frame->hd.stream_id);
     const bool end = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0 &&
                      (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA);
-    if (end && stream != nullptr && stream->dropRest)
+    if (end && stream != nullptr && stream->discardInput)
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, frame->hd.stream_id, NGHTTP2_NO_ERROR);
     return 0;
   }
 
-  static ssize_t read(nghttp2_session* session, std::int32_t id, std::uint8_t* into, std::size_t most,
-                      std::uint32_t* flags, nghttp2_data_source*, void* user) {
-    Session& self = of(user);
+  static ssize_t readBody(nghttp2_session* session, std::int32_t id, std::uint8_t* into, std::size_t most,
+                          std::uint32_t* flags, nghttp2_data_source*, void* user) {
+    Session& self = sessionOf(user);
     Stream* stream = self.find(id);
     if (stream == nullptr) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
-    const std::size_t size = std::min(most, stream->out.size() - stream->outAt);
-    std::copy_n(stream->out.data() + stream->outAt, size, into);
-    stream->outAt += size;
-    const bool empty = stream->outAt == stream->out.size();
+    const std::size_t size = std::min(most, stream->output.size() - stream->outputOffset);
+    std::copy_n(stream->output.data() + stream->outputOffset, size, into);
+    stream->outputOffset += size;
+    const bool empty = stream->outputOffset == stream->output.size();
     if (empty) {
-      stream->out.clear();
-      stream->outAt = 0;
+      stream->output.clear();
+      stream->outputOffset = 0;
     }
-    if (empty && stream->ended) {
+    if (empty && stream->outputEnded) {
       *flags |= NGHTTP2_DATA_FLAG_EOF;
       if (!stream->trailers.empty()) {
         *flags |= NGHTTP2_DATA_FLAG_NO_END_STREAM;
@@ -141,7 +142,7 @@
         nghttp2_submit_trailer(session, id, pairs.data(), pairs.size());
       }
     } else if (size == 0) {
-      stream->stalled = true;
+      stream->outputDeferred = true;
       return NGHTTP2_ERR_DEFERRED;
     }
     if (empty) self.owner_.onDrained(id);
@@ -152,13 +153,13 @@
     static const nghttp2_session_callbacks* const kTable = [] {
       nghttp2_session_callbacks* made = nullptr;
       if (nghttp2_session_callbacks_new(&made) != 0) throw std::bad_alloc();
-      nghttp2_session_callbacks_set_on_begin_headers_callback(made, beginHeaders);
-      nghttp2_session_callbacks_set_on_header_callback(made, header);
-      nghttp2_session_callbacks_set_on_frame_recv_callback(made, frame);
-      nghttp2_session_callbacks_set_on_data_chunk_recv_callback(made, data);
-      nghttp2_session_callbacks_set_on_stream_close_callback(made, streamClosed);
-      nghttp2_session_callbacks_set_on_frame_send_callback(made, frameSent);
-      nghttp2_session_callbacks_set_on_begin_frame_callback(made, beginFrame);
+      nghttp2_session_callbacks_set_on_begin_headers_callback(made, onBeginHeaders);
+      nghttp2_session_callbacks_set_on_header_callback(made, onHeader);
+      nghttp2_session_callbacks_set_on_frame_recv_callback(made, onFrame);
+      nghttp2_session_callbacks_set_on_data_chunk_recv_callback(made, onDataChunk);
+      nghttp2_session_callbacks_set_on_stream_close_callback(made, onStreamClose);
+      nghttp2_session_callbacks_set_on_frame_send_callback(made, onFrameSent);
+      nghttp2_session_callbacks_set_on_begin_frame_callback(made, onBeginFrame);
       return made;
     }();
     return kTable;
@@ -195,7 +196,7 @@
 void Session::adopt(int fd) {
   startSession();
   connection_.adopt(fd);
-  schedulePump();
+  scheduleSend();
 }
 
 void Session::connect(const net::Endpoint& to, Duration timeout) {
@@ -205,62 +206,62 @@
 
 void Session::onConnected() {
   owner_.onSessionReady();
-  pump();
+  sendPendingFrames();
 }
 
 void Session::onBytes(std::span<const std::uint8_t> bytes) {
-  heardAt_ = loop_.now();
-  inside_ = true;
+  lastReceivedAt_ = loop_.now();
+  insideNghttp2_ = true;
   const ssize_t taken = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
-  inside_ = false;
-  if (over_) return;
+  insideNghttp2_ = false;
+  if (closed_) return;
   if (taken < 0) {
-    pump();  // a GOAWAY that tells why may be due
+    sendPendingFrames();  // a GOAWAY that tells why may be due
     return fail(std::string("HTTP/2: ") + nghttp2_strerror(static_cast<int>(taken)));
   }
-  pump();
+  sendPendingFrames();
 }
 
-void Session::pump() {
-  if (inside_ || over_ || session_ == nullptr) return;
+void Session::sendPendingFrames() {
+  if (insideNghttp2_ || closed_ || session_ == nullptr) return;
   while (connection_.wantsOutput()) {
     const std::uint8_t* bytes = nullptr;
-    inside_ = true;
+    insideNghttp2_ = true;
     const ssize_t size = nghttp2_session_mem_send(session_, &bytes);
-    inside_ = false;
-    if (over_) return;
+    insideNghttp2_ = false;
+    if (closed_) return;
     if (size < 0) return fail(std::string("HTTP/2: ") + nghttp2_strerror(static_cast<int>(size)));
     if (size == 0) break;
     // Many frames go out in one call of the system.
     connection_.append({bytes, static_cast<std::size_t>(size)});
     if (!connection_.wantsOutput()) connection_.flush();
-    if (over_) return;
+    if (closed_) return;
   }
   connection_.flush();
-  if (!over_) finishIfIdle();
+  if (!closed_) closeIfFinished();
 }
 
-void Session::finishIfIdle() {
-  if (over_ || !connection_.isConnected()) return;
+void Session::closeIfFinished() {
+  if (closed_ || !connection_.isConnected()) return;
   const bool spoken = nghttp2_session_want_read(session_) == 0 && nghttp2_session_want_write(session_) == 0;
   if (spoken || (draining_ && side_ == Side::kClient && streams_.empty())) fail("ended in good order");
 }
 
-void Session::schedulePump() {
-  if (std::exchange(pumpDue_, true)) return;
+void Session::scheduleSend() {
+  if (std::exchange(sendScheduled_, true)) return;
   loop_.defer([this, alive = alive_] {
     if (!*alive) return;
-    pumpDue_ = false;
-    pump();
+    sendScheduled_ = false;
+    sendPendingFrames();
   });
 }
 
 Session::Stream* Session::find(StreamId id) {
-  if (id == lastId_) return last_;  // tokens come in runs
+  if (id == cachedStreamId_) return cachedStream_;  // tokens come in runs
   const auto it = streams_.find(id);
   if (it == streams_.end()) return nullptr;
-  lastId_ = id;
-  return last_ = &it->second;
+  cachedStreamId_ = id;
+  return cachedStream_ = &it->second;
 }
 
 bool Session::canOpenStream() const {
@@ -273,81 +274,81 @@
 StreamId Session::request(const Headers& headers, std::string_view body) {
   if (!canOpenStream()) return 0;
   const auto pairs = pairsOf(headers);
-  nghttp2_data_provider provider{{}, Callbacks::read};
+  nghttp2_data_provider provider{{}, Callbacks::readBody};
   const StreamId id =
       nghttp2_submit_request(session_, nullptr, pairs.data(), pairs.size(), &provider, nullptr);
   if (id < 0) return 0;
   Stream& stream = streams_[id];
-  stream.out.assign(body);
-  stream.ended = true;
-  schedulePump();
+  stream.output.assign(body);
+  stream.outputEnded = true;
+  scheduleSend();
   return id;
 }
 
-void Session::submitBody(StreamId id, const Headers& headers) {
+void Session::submitResponse(StreamId id, const Headers& headers) {
   const auto pairs = pairsOf(headers);
-  nghttp2_data_provider provider{{}, Callbacks::read};
+  nghttp2_data_provider provider{{}, Callbacks::readBody};
   nghttp2_submit_response(session_, id, pairs.data(), pairs.size(), &provider);
-  schedulePump();
+  scheduleSend();
 }
 
 void Session::respond(StreamId id, const Headers& headers) {
-  if (isOpen() && find(id) != nullptr) submitBody(id, headers);
+  if (isOpen() && find(id) != nullptr) submitResponse(id, headers);
 }
 
-void Session::respondOnly(StreamId id, const Headers& headers) {
+void Session::respondHeadersOnly(StreamId id, const Headers& headers) {
   if (!isOpen() || find(id) == nullptr) return;
   const auto pairs = pairsOf(headers);
   nghttp2_submit_response(session_, id, pairs.data(), pairs.size(), nullptr);
-  schedulePump();
+  scheduleSend();
 }
 
-void Session::resume(StreamId id, Stream& stream) {
-  if (std::exchange(stream.stalled, false)) nghttp2_session_resume_data(session_, id);
-  schedulePump();
+void Session::resumeOutput(StreamId id, Stream& stream) {
+  if (std::exchange(stream.outputDeferred, false)) nghttp2_session_resume_data(session_, id);
+  scheduleSend();
 }
 
 std::size_t Session::send(StreamId id, std::string_view head, std::string_view bytes) {
   Stream* stream = isOpen() ? find(id) : nullptr;
-  if (stream == nullptr || stream->ended) return 0;
-  stream->out.append(head).append(bytes);
-  resume(id, *stream);
-  return stream->out.size() - stream->outAt;
+  if (stream == nullptr || stream->outputEnded) return 0;
+  stream->output.append(head).append(bytes);
+  resumeOutput(id, *stream);
+  return stream->output.size() - stream->outputOffset;
 }
 
 void Session::finish(StreamId id, const Headers& trailers) {
   Stream* stream = isOpen() ? find(id) : nullptr;
-  if (stream == nullptr || stream->ended) return;
-  stream->ended = true;
+  if (stream == nullptr || stream->outputEnded) return;
+  stream->outputEnded = true;
   stream->trailers = trailers;
-  resume(id, *stream);
+  resumeOutput(id, *stream);
 }
 
-void Session::dropRest(StreamId id) {
-  if (Stream* const stream = find(id)) stream->dropRest = true;
+void Session::discardRemainingInput(StreamId id) {
+  if (Stream* const stream = find(id)) stream->discardInput = true;
 }
 
 void Session::reset(StreamId id, std::uint32_t code) {
   if (!isOpen() || find(id) == nullptr) return;
   nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, id, code);
-  pump();  // inside a callback it follows right after
+  sendPendingFrames();  // inside a callback it follows right after
 }
 
 void Session::consumed(StreamId id, std::size_t bytes) {
   if (!isOpen() || bytes == 0 || find(id) == nullptr) return;
   nghttp2_session_consume_stream(session_, id, bytes);
-  schedulePump();
+  scheduleSend();
 }
 
 std::size_t Session::pendingBytes(StreamId id) const {
   const auto it = streams_.find(id);
-  return it == streams_.end() ? 0 : it->second.out.size() - it->second.outAt;
+  return it == streams_.end() ? 0 : it->second.output.size() - it->second.outputOffset;
 }
 
 void Session::ping() {
   if (!isOpen()) return;
   nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
-  schedulePump();
+  scheduleSend();
 }
 
 void Session::goaway() {
@@ -358,36 +359,36 @@
     if (!*alive || !isOpen()) return;
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, nghttp2_session_get_last_proc_stream_id(session_),
                           NGHTTP2_NO_ERROR, nullptr, 0);
-    pump();
+    sendPendingFrames();
   });
-  schedulePump();
+  scheduleSend();
 }
 
 void Session::close() {
-  over_ = true;
+  closed_ = true;
   connection_.close();
 }
 
 void Session::abort() {
-  over_ = true;
+  closed_ = true;
   connection_.abort();
 }
 
 void Session::fail(const std::string& reason) {
-  if (over_) return;
-  over_ = true;
+  if (closed_) return;
+  closed_ = true;
   connection_.close();
-  endAll(reason);
+  closeAllStreams(reason);
 }
 
 void Session::onClosed(const std::string& reason) {
-  if (std::exchange(over_, true)) return;
-  endedByPeer_ = true;
-  endAll(reason);
+  if (std::exchange(closed_, true)) return;
+  closedByPeer_ = true;
+  closeAllStreams(reason);
 }
 
-void Session::endAll(const std::string& reason) {
-  lastId_ = -1;
+void Session::closeAllStreams(const std::string& reason) {
+  cachedStreamId_ = -1;
   const auto open = std::exchange(streams_, {});
   std::vector<StreamId> ids;
   ids.reserve(open.size());
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -29,7 +29,7 @@
 const std::string* find(const Headers& headers, std::string_view name);
 
 // Error codes of RFC 9113, section 7, as far as they are used by name.
-enum Code : std::uint32_t {
+enum ErrorCode : std::uint32_t {
   kNoError = 0x0,
   kInternalError = 0x2,
   kRefusedStream = 0x7,
@@ -77,13 +77,13 @@
   // Opens a stream of a client; 0 where the session takes none any more.
   StreamId request(const Headers& headers, std::string_view body);
   void respond(StreamId stream, const Headers& headers);
-  void respondOnly(StreamId stream, const Headers& headers);  // headers that end the stream
+  void respondHeadersOnly(StreamId stream, const Headers& headers);  // headers that end the stream
   // Two parts of one text; the bytes of body that are pending then, 0 where the stream takes none.
   std::size_t send(StreamId stream, std::string_view head, std::string_view bytes);
   void finish(StreamId stream, const Headers& trailers);
   // What the peer still sends on the stream is not wanted: it is reset, without an error, once our end is
   // out.
-  void dropRest(StreamId stream);
+  void discardRemainingInput(StreamId stream);
   // Goes out before anything that is submitted elsewhere after this call.
   void reset(StreamId stream, std::uint32_t code);
   // The owner took `bytes` of a stream: the peer may send as many more.
@@ -95,20 +95,20 @@
   void close();                          // at once, owner not told
   void abort();                          // at once with a RST, owner not told
   void fail(const std::string& reason);  // at once, owner told
-  bool isOpen() const { return connection_.isOpen() && !over_; }
-  bool closedByPeer() const { return endedByPeer_; }   // it closed the connection, or reset it
-  bool canOpenStream() const;                          // a client may open one more
-  Instant lastReceivedAt() const { return heardAt_; }  // when the peer last sent anything
+  bool isOpen() const { return connection_.isOpen() && !closed_; }
+  bool closedByPeer() const { return closedByPeer_; }         // it closed the connection, or reset it
+  bool canOpenStream() const;                                 // a client may open one more
+  Instant lastReceivedAt() const { return lastReceivedAt_; }  // when the peer last sent anything
   net::Connection& connection() { return connection_; }
 
  private:
   struct Stream {
-    Headers incoming;
-    std::size_t incomingBytes = 0;
-    bool overflow = false;
-    std::string out;
-    std::size_t outAt = 0;
-    bool ended = false, stalled = false, dropRest = false;
+    Headers headers;
+    std::size_t headerBytes = 0;
+    bool headersOverflow = false;
+    std::string output;
+    std::size_t outputOffset = 0;
+    bool outputEnded = false, outputDeferred = false, discardInput = false;
     Headers trailers;
   };
   struct Callbacks;
@@ -116,17 +116,17 @@
 
   void onConnected() override;
   void onBytes(std::span<const std::uint8_t> bytes) override;
-  void onWritable() override { pump(); }
+  void onWritable() override { sendPendingFrames(); }
   void onClosed(const std::string& reason) override;
 
   Stream* find(StreamId id);
   void startSession();
-  void pump();          // moves frames from nghttp2 to the connection while it has room
-  void schedulePump();  // once at the end of the loop's iteration
-  void submitBody(StreamId id, const Headers& headers);
-  void resume(StreamId id, Stream& stream);
-  void finishIfIdle();
-  void endAll(const std::string& reason);
+  void sendPendingFrames();  // moves frames from nghttp2 to the connection while it has room
+  void scheduleSend();       // once at the end of the loop's iteration
+  void submitResponse(StreamId id, const Headers& headers);
+  void resumeOutput(StreamId id, Stream& stream);
+  void closeIfFinished();
+  void closeAllStreams(const std::string& reason);
 
   net::Loop& loop_;
   Side side_;
@@ -135,14 +135,14 @@
   net::Connection connection_;
   nghttp2_session* session_ = nullptr;
   std::unordered_map<StreamId, Stream> streams_;
-  std::array<StreamId, 32> endedWell_{};  // the last ones; nothing more may come for them
-  StreamId lastId_ = -1;                  // of the stream that was found last; -1 = none
-  Stream* last_ = nullptr;
-  std::size_t endedAt_ = 0;
+  std::array<StreamId, 32> recentlyClosed_{};  // the last ones; nothing more may come for them
+  StreamId cachedStreamId_ = -1;               // of the stream that was found last; -1 = none
+  Stream* cachedStream_ = nullptr;
+  std::size_t recentlyClosedCount_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  bool inside_ = false;  // in a call of nghttp2, which must not be entered again
-  bool pumpDue_ = false, draining_ = false, over_ = false, endedByPeer_ = false;
-  Instant heardAt_{};
+  bool insideNghttp2_ = false;  // in a call of nghttp2, which must not be entered again
+  bool sendScheduled_ = false, draining_ = false, closed_ = false, closedByPeer_ = false;
+  Instant lastReceivedAt_{};
 };
 
 }  // namespace gannetcourse::http2
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -94,40 +94,41 @@
 }
 
 void Connection::connect(const Endpoint& to, Duration timeout) {
-  to_ = to;
+  remoteEndpoint_ = to;
   connecting_ = true;
-  connectTimer_ = loop_.runAfter(timeout, [this] {
-    connectTimer_ = 0;
-    fail(localFault_ ? "connect: not possible on this machine" : "connect: timed out");
+  connectTimeoutTimer_ = loop_.runAfter(timeout, [this] {
+    connectTimeoutTimer_ = 0;
+    fail(connectFailedLocally_ ? "connect: not possible on this machine" : "connect: timed out");
   });
-  dial();
+  startConnect();
 }
 
-void Connection::dial() {
-  const auto address = socketAddress(to_);
-  if (!address) return fail("no address: " + to_.text());
+void Connection::startConnect() {
+  const auto address = socketAddress(remoteEndpoint_);
+  if (!address) return fail("no address: " + remoteEndpoint_.text());
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return dialLater(errno);
+  if (fd < 0) return scheduleConnectRetry(errno);
   sendAtOnce(fd);
   const bool connected = ::connect(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) == 0;
   const int error = connected ? 0 : errno;
   // Interrupted by a signal it goes on, as every non-blocking connect does.
   if (error != 0 && error != EINPROGRESS && error != EINTR) {
     ::close(fd);
-    return isLocalFault(error) ? dialLater(error) : fail(std::string("connect: ") + std::strerror(error));
+    return isLocalFault(error) ? scheduleConnectRetry(error)
+                               : fail(std::string("connect: ") + std::strerror(error));
   }
-  localFault_ = false;
+  connectFailedLocally_ = false;
   fd_ = fd;
   loop_.watch(fd_, this);
 }
 
 // The peer has not been asked for anything yet: its connection may still be opened in time.
-void Connection::dialLater(int error) {
+void Connection::scheduleConnectRetry(int error) {
   if (!isLocalFault(error)) return fail(std::string("socket: ") + std::strerror(error));
-  localFault_ = true;
-  dialTimer_ = loop_.runAfter(kDialAgain, [this] {
-    dialTimer_ = 0;
-    dial();
+  connectFailedLocally_ = true;
+  connectRetryTimer_ = loop_.runAfter(kDialAgain, [this] {
+    connectRetryTimer_ = 0;
+    startConnect();
   });
 }
 
@@ -137,7 +138,7 @@
   getsockopt(fd_, SOL_SOCKET, SO_ERROR, &fault, &size);
   if (fault != 0) return fail(std::string("connect: ") + std::strerror(fault));
   connecting_ = false;
-  loop_.cancelTimer(std::exchange(connectTimer_, 0));
+  loop_.cancelTimer(std::exchange(connectTimeoutTimer_, 0));
   owner_.onConnected();
 }
 
@@ -147,21 +148,21 @@
     finishConnect();
   }
   if (ready.ended && isConnected()) owner_.onPeerEnded();
-  if (ready.readable) readAll();
-  if (ready.writable && isConnected() && !frozen_) {
+  if (ready.readable) readAvailable();
+  if (ready.writable && isConnected() && !suspended_) {
     flush();
     if (wantsOutput()) owner_.onWritable();
   }
 }
 
-void Connection::readAll() {
-  if (reading_) return;  // the owner asked for it while it is told of bytes
-  reading_ = true;
+void Connection::readAvailable() {
+  if (insideRead_) return;  // the owner asked for it while it is told of bytes
+  insideRead_ = true;
   std::array<std::uint8_t, 16384> buffer;
   std::size_t budget = kReadBudget;
-  while (isConnected() && ((!frozen_ && !held_) || polled_)) {
+  while (isConnected() && ((!suspended_ && !readingPaused_) || readingForced_)) {
     if (budget == 0) {
-      readOnLater(Loop::kNextIteration);
+      scheduleRead(Loop::kNextIteration);
       break;
     }
     const auto got = recv(fd_, buffer.data(), std::min(buffer.size(), budget), 0);
@@ -172,38 +173,38 @@
       fail("closed by peer");
     } else if (errno != EINTR) {
       if (lacksMemory(errno)) {
-        readOnLater(kTransferAgain);
+        scheduleRead(kTransferAgain);
       } else if (errno != EAGAIN) {
         fail(std::string("read: ") + std::strerror(errno));
       }
       break;
     }
   }
-  reading_ = false;
+  insideRead_ = false;
 }
 
 // A peer that sends faster than its bytes are handled must not keep the loop from the others. The edge has
 // been used up, so that the rest is read by our own timer, in the next iteration.
-void Connection::readOnLater(Duration delay) {
+void Connection::scheduleRead(Duration delay) {
   if (readTimer_ != 0) return;
   readTimer_ = loop_.runAfter(delay, [this] {
     readTimer_ = 0;
-    readAll();
+    readAvailable();
   });
 }
 
-void Connection::flushLater() {
+void Connection::scheduleFlush() {
   if (writeTimer_ != 0) return;
   writeTimer_ = loop_.runAfter(kTransferAgain, [this] {
     writeTimer_ = 0;
-    if (!isConnected() || frozen_) return;
+    if (!isConnected() || suspended_) return;
     flush();
     if (wantsOutput()) owner_.onWritable();
   });
 }
 
 void Connection::append(std::string_view bytes) {
-  if (isOpen()) out_.append(bytes);
+  if (isOpen()) output_.append(bytes);
 }
 
 void Connection::append(std::span<const std::uint8_t> bytes) {
@@ -211,14 +212,14 @@
 }
 
 void Connection::flush() {
-  if (!isConnected() || frozen_) return;
+  if (!isConnected() || suspended_) return;
   while (fd_ >= 0 && pendingBytes() > 0) {
-    const auto sent = send(fd_, out_.data() + outAt_, pendingBytes(), MSG_NOSIGNAL);
+    const auto sent = send(fd_, output_.data() + outputOffset_, pendingBytes(), MSG_NOSIGNAL);
     if (sent >= 0) {
-      outAt_ += static_cast<std::size_t>(sent);
+      outputOffset_ += static_cast<std::size_t>(sent);
     } else if (errno != EINTR) {
       if (lacksMemory(errno)) {
-        flushLater();
+        scheduleFlush();
       } else if (errno != EAGAIN) {
         return fail(std::string("write: ") + std::strerror(errno));
       }
@@ -226,41 +227,41 @@
     }
   }
   if (pendingBytes() == 0) {
-    out_.clear();
-    outAt_ = 0;
-  } else if (outAt_ > kWatermark) {
-    out_.erase(0, outAt_);
-    outAt_ = 0;
+    output_.clear();
+    outputOffset_ = 0;
+  } else if (outputOffset_ > kWatermark) {
+    output_.erase(0, outputOffset_);
+    outputOffset_ = 0;
   }
 }
 
-void Connection::close() { dropSocket(); }
+void Connection::close() { closeSocket(); }
 
 void Connection::abort() {
   if (fd_ >= 0) {
     const linger now{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
   }
-  dropSocket();
+  closeSocket();
 }
 
 void Connection::readNow() {
-  polled_ = true;
-  readAll();
-  polled_ = false;
+  readingForced_ = true;
+  readAvailable();
+  readingForced_ = false;
 }
 
 void Connection::suspend(bool frozen) {
-  frozen_ = frozen;
-  if (frozen_ || !isConnected()) return;
+  suspended_ = frozen;
+  if (suspended_ || !isConnected()) return;
   flush();
-  readAll();
+  readAvailable();
   if (wantsOutput()) owner_.onWritable();
 }
 
 void Connection::pauseReading(bool held) {
-  held_ = held;
-  if (!held_) readAll();
+  readingPaused_ = held;
+  if (!readingPaused_) readAvailable();
 }
 
 void Connection::shutdownWrite() {
@@ -268,12 +269,12 @@
 }
 
 void Connection::fail(const std::string& reason) {
-  dropSocket();
+  closeSocket();
   owner_.onClosed(reason);
 }
 
-void Connection::dropSocket() {
-  for (TimerId* const timer : {&connectTimer_, &dialTimer_, &readTimer_, &writeTimer_})
+void Connection::closeSocket() {
+  for (TimerId* const timer : {&connectTimeoutTimer_, &connectRetryTimer_, &readTimer_, &writeTimer_})
     loop_.cancelTimer(std::exchange(*timer, 0));
   connecting_ = false;
   if (fd_ < 0) return;
@@ -282,7 +283,7 @@
 }
 
 Listener::Listener(Loop& loop, const Endpoint& on, Accept accept)
-    : loop_(loop), accept_(std::move(accept)), acceptPause_(kAcceptAgain) {
+    : loop_(loop), accept_(std::move(accept)), acceptRetryDelay_(kAcceptAgain) {
   auto address = socketAddress(on);
   // A port that the kernel chose is bound by its number as well: only then it stays ours while refusing.
   const int chooser = address && on.port == 0 ? bound(*address) : -1;
@@ -298,15 +299,15 @@
   loop_.watch(fd_, this);
 }
 
-void Listener::onReady(const Ready&) { acceptAll(); }
+void Listener::onReady(const Ready&) { acceptUntilEmpty(); }
 
-bool Listener::acceptAll() {
+bool Listener::acceptUntilEmpty() {
   int failures = 0;
   while (fd_ >= 0 && !paused_) {
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       failures = 0;
-      acceptPause_ = kAcceptAgain;
+      acceptRetryDelay_ = kAcceptAgain;
       accept_(fd);
       continue;
     }
@@ -317,24 +318,24 @@
     // Without a descriptor or memory the kernel keeps them all.
     const bool ofConnection = !isLocalFault(errno);
     if (ofConnection && ++failures < kMostFailedAccepts) continue;
-    acceptLater();
+    scheduleAcceptRetry();
     return false;
   }
   return true;
 }
 
-void Listener::acceptLater() {
+void Listener::scheduleAcceptRetry() {
   if (retryTimer_ != 0) return;
-  retryTimer_ = loop_.runAfter(acceptPause_, [this] {
+  retryTimer_ = loop_.runAfter(acceptRetryDelay_, [this] {
     retryTimer_ = 0;
-    acceptAll();
+    acceptUntilEmpty();
   });
-  acceptPause_ = std::min(kAcceptAgainMost, 2 * acceptPause_);
+  acceptRetryDelay_ = std::min(kAcceptAgainMost, 2 * acceptRetryDelay_);
 }
 
 void Listener::rejectConnections(bool refused) {
-  if (fd_ < 0 || refused_ == refused) return;
-  refused_ = refused;
+  if (fd_ < 0 || rejecting_ == refused) return;
+  rejecting_ = refused;
   // A listening socket that is shut down keeps its port and answers connects with a RST, until it listens
   // again.
   if (refused) {
@@ -347,7 +348,7 @@
 
 void Listener::pause(bool paused) {
   paused_ = paused;
-  if (!paused_) acceptAll();
+  if (!paused_) acceptUntilEmpty();
 }
 
 void Listener::close() {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -44,7 +44,7 @@
       256 * 1024;  // bytes read in one iteration of the loop, then others
 
   Connection(Loop& loop, ConnectionOwner& owner) : loop_(loop), owner_(owner) {}
-  ~Connection() override { dropSocket(); }
+  ~Connection() override { closeSocket(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
@@ -55,12 +55,12 @@
   // then.
   void connect(const Endpoint& to, Duration timeout);
   // Whether connecting ended for a want of this machine's own: the peer was never asked.
-  bool failedLocally() const { return localFault_; }
+  bool failedLocally() const { return connectFailedLocally_; }
 
   bool isOpen() const { return fd_ >= 0 || connecting_; }
   bool isConnected() const { return fd_ >= 0 && !connecting_; }
   bool wantsOutput() const { return isConnected() && pendingBytes() < kWatermark; }
-  std::size_t pendingBytes() const { return out_.size() - outAt_; }
+  std::size_t pendingBytes() const { return output_.size() - outputOffset_; }
   void append(std::string_view bytes);               // to what is pending
   void append(std::span<const std::uint8_t> bytes);  // the same
   void flush();                                      // sends as much of it as the kernel takes
@@ -71,33 +71,34 @@
 
   // Stops reading and writing, as a machine that went silent: nothing is lost, the kernel keeps what comes.
   void suspend(bool frozen);
-  bool isSuspended() const { return frozen_; }
+  bool isSuspended() const { return suspended_; }
   // Leaves what comes in the kernel, so that the peer must wait; writing goes on.
   void pauseReading(bool held);
-  bool isReadingPaused() const { return held_; }
+  bool isReadingPaused() const { return readingPaused_; }
   // Reads what the kernel holds now, frozen or not, whether or not an event has told of it.
   void readNow();
 
  private:
   void onReady(const Ready& ready) override;
-  void dial();
-  void dialLater(int error);
+  void startConnect();
+  void scheduleConnectRetry(int error);
   void finishConnect();
-  void readAll();
-  void readOnLater(Duration delay);
-  void flushLater();
+  void readAvailable();
+  void scheduleRead(Duration delay);
+  void scheduleFlush();
   void fail(const std::string& reason);
-  void dropSocket();
+  void closeSocket();
 
   Loop& loop_;
   ConnectionOwner& owner_;
   int fd_ = -1;
-  bool connecting_ = false, frozen_ = false, held_ = false, reading_ = false, polled_ = false;
-  bool localFault_ = false;  // the last try to connect failed here
-  Endpoint to_;              // while it connects
-  TimerId connectTimer_ = 0, dialTimer_ = 0, readTimer_ = 0, writeTimer_ = 0;
-  std::string out_;
-  std::size_t outAt_ = 0;
+  bool connecting_ = false, suspended_ = false, readingPaused_ = false, insideRead_ = false,
+       readingForced_ = false;
+  bool connectFailedLocally_ = false;  // the last try to connect failed here
+  Endpoint remoteEndpoint_;            // while it connects
+  TimerId connectTimeoutTimer_ = 0, connectRetryTimer_ = 0, readTimer_ = 0, writeTimer_ = 0;
+  std::string output_;
+  std::size_t outputOffset_ = 0;
 };
 
 // Accepts connections on a port of this machine; port 0 lets the kernel choose.
@@ -113,22 +114,22 @@
       bool refused);  // as a machine without the process: the port stays ours, connects are refused
   // Takes what stands in the kernel's queue now. False where accepting failed, so that some may still be
   // there.
-  bool acceptWaiting() { return acceptAll(); }
+  bool acceptPending() { return acceptUntilEmpty(); }
   void close();
   std::uint64_t failedAccepts() const { return failedAccepts_; }
 
  private:
   void onReady(const Ready& ready) override;
-  bool acceptAll();
-  void acceptLater();
+  bool acceptUntilEmpty();
+  void scheduleAcceptRetry();
 
   Loop& loop_;
   Accept accept_;
   int fd_ = -1;
   std::uint16_t port_ = 0;
-  bool paused_ = false, refused_ = false;
+  bool paused_ = false, rejecting_ = false;
   TimerId retryTimer_ = 0;
-  Duration acceptPause_;  // before accepting is tried again
+  Duration acceptRetryDelay_;  // before accepting is tried again
   std::uint64_t failedAccepts_ = 0;
 };
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -45,17 +45,17 @@
 
 Loop::Loop(Clock clock) : clock_(std::move(clock)), epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(clock_()) {
   if (epoll_ < 0) systemFault("epoll_create1");
-  wakeFd_ = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
-  if (wakeFd_ < 0) {
+  wakeupFd_ = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+  if (wakeupFd_ < 0) {
     const int fault = errno;
     close(epoll_);
     throw std::system_error(fault, std::generic_category(), "eventfd");
   }
-  if (!registerWithKernel(wakeFd_, 0)) retryWatchLater(wakeFd_, 0);
+  if (!registerWithKernel(wakeupFd_, 0)) retryWatchLater(wakeupFd_, 0);
 }
 
 Loop::~Loop() {
-  if (wakeFd_ >= 0) close(wakeFd_);
+  if (wakeupFd_ >= 0) close(wakeupFd_);
   if (epoll_ >= 0) close(epoll_);
 }
 
@@ -69,7 +69,7 @@
 // has become until it is registered is told then: adding it to epoll reports its present state.
 bool Loop::registerWithKernel(int fd, std::uint32_t generation) {
   epoll_event event{};
-  event.events = EPOLLET | (fd == wakeFd_ ? EPOLLIN : EPOLLIN | EPOLLOUT | EPOLLRDHUP);
+  event.events = EPOLLET | (fd == wakeupFd_ ? EPOLLIN : EPOLLIN | EPOLLOUT | EPOLLRDHUP);
   event.data.u64 = tagOf(fd, generation);
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) == 0) return true;
   if (errno != ENOMEM && errno != ENOSPC) systemFault("epoll_ctl");
@@ -85,7 +85,7 @@
 void Loop::retryWatches() {
   for (const auto& [fd, generation] : std::exchange(unregistered_, {})) {
     const auto it = watchers_.find(fd);
-    const bool wanted = fd == wakeFd_ || (it != watchers_.end() && it->second.second == generation);
+    const bool wanted = fd == wakeupFd_ || (it != watchers_.end() && it->second.second == generation);
     if (wanted && !registerWithKernel(fd, generation)) retryWatchLater(fd, generation);
   }
 }
@@ -116,7 +116,7 @@
     posted_.push_back(std::move(task));
   }
   const std::uint64_t one = 1;
-  [[maybe_unused]] const auto written = write(wakeFd_, &one, sizeof one);
+  [[maybe_unused]] const auto written = write(wakeupFd_, &one, sizeof one);
 }
 
 void Loop::run() {
@@ -142,9 +142,9 @@
     const auto tag = events[static_cast<std::size_t>(i)].data.u64;
     const auto ready = events[static_cast<std::size_t>(i)].events;
     const int fd = static_cast<int>(tag & 0xffffffffU);
-    if (fd == wakeFd_) {
+    if (fd == wakeupFd_) {
       std::uint64_t drained = 0;
-      [[maybe_unused]] const auto got = read(wakeFd_, &drained, sizeof drained);
+      [[maybe_unused]] const auto got = read(wakeupFd_, &drained, sizeof drained);
       continue;
     }
     const auto it = watchers_.find(fd);  // may have been closed, and its number reused, in this iteration
@@ -155,7 +155,7 @@
   }
   const bool timers = runTimers();
   const bool tasks = runDeferred();
-  longest_ = std::max(longest_, clock_() - now_);
+  longestIteration_ = std::max(longestIteration_, clock_() - now_);
   return count > 0 || timers || tasks;
 }
 
@@ -183,6 +183,6 @@
   return !tasks.empty();
 }
 
-Duration Loop::takeLongestIteration() { return std::exchange(longest_, Duration(0)); }
+Duration Loop::takeLongestIteration() { return std::exchange(longestIteration_, Duration(0)); }
 
 }  // namespace gannetcourse::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -99,7 +99,7 @@
 
   Clock clock_;
   int epoll_ = -1;
-  int wakeFd_ = -1;
+  int wakeupFd_ = -1;
   Instant now_;
   bool stopped_ = false;
   std::unordered_map<int, std::pair<Watcher*, std::uint32_t>> watchers_;  // with a generation
@@ -112,7 +112,7 @@
   std::vector<std::function<void()>> deferred_;
   std::mutex mutex_;
   std::vector<std::function<void()>> posted_;  // guarded by mutex_
-  Duration longest_{0};
+  Duration longestIteration_{0};
 };
 
 }  // namespace gannetcourse::net
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -89,7 +89,7 @@
       left -= static_cast<std::size_t>(used);
       if ((flags & NGHTTP2_HD_INFLATE_EMIT) != 0 &&
           std::string(reinterpret_cast<char*>(pair.name), pair.namelen) == "grpc-status")
-        code = codeOf({reinterpret_cast<char*>(pair.value), pair.valuelen});
+        code = codeFromText({reinterpret_cast<char*>(pair.value), pair.valuelen});
       if ((flags & NGHTTP2_HD_INFLATE_FINAL) != 0) break;
     }
     nghttp2_hd_inflate_end_headers(inflater);
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -65,11 +65,11 @@
   limits.maxBodyBytes = 100;
   RequestParser head(limits);
   EXPECT_EQ(parseAll(head, "GET / HTTP/1.1\r\nX: " + std::string(400, 'a'), 50), ParseState::kMalformed);
-  EXPECT_EQ(head.status(), 431);
+  EXPECT_EQ(head.errorStatus(), 431);
   RequestParser body(limits);
   EXPECT_EQ(parseAll(body, "POST / HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 10),
             ParseState::kMalformed);
-  EXPECT_EQ(body.status(), 413);
+  EXPECT_EQ(body.errorStatus(), 413);
   RequestParser chunks(limits);
   EXPECT_EQ(parseAll(chunks, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nFFFFFFFF\r\n", 10),
             ParseState::kMalformed);
@@ -90,7 +90,7 @@
                                    [&](std::string_view body) { answer.body += body; }});
   for (std::size_t i = 0; i < bytes.size() && answer.state == ParseState::kNeedMore; i += step)
     answer.state = parser.take(std::string_view(bytes).substr(i, step));
-  if (reusable != nullptr) *reusable = parser.reusable();
+  if (reusable != nullptr) *reusable = parser.isConnectionReusable();
   return answer;
 }
 
@@ -128,25 +128,25 @@
 TEST(ResponseParser, IsMidwayInsideAHeadOrAChunkOnly) {
   bool headSeen = false;
   ResponseParser parser(Limits{}, {[&](const ResponseHead&) { headSeen = true; }, [](std::string_view) {}});
-  EXPECT_FALSE(parser.midway());
+  EXPECT_FALSE(parser.isInsidePart());
   parser.take("HTTP/1.1 200 OK\r\nTransfer-Enc");
-  EXPECT_TRUE(parser.midway());
+  EXPECT_TRUE(parser.isInsidePart());
   parser.take("oding: chunked\r\n\r\n");
-  EXPECT_FALSE(parser.midway());
+  EXPECT_FALSE(parser.isInsidePart());
   parser.take("a\r\nhello");
-  EXPECT_TRUE(parser.midway());
+  EXPECT_TRUE(parser.isInsidePart());
   parser.take("12345");
-  EXPECT_FALSE(parser.midway());
+  EXPECT_FALSE(parser.isInsidePart());
   parser.take("\r");
-  EXPECT_FALSE(parser.midway());
+  EXPECT_FALSE(parser.isInsidePart());
   parser.take("\n");
-  EXPECT_FALSE(parser.midway());  // the next chunk may come in a second or in a minute
+  EXPECT_FALSE(parser.isInsidePart());  // the next chunk may come in a second or in a minute
   parser.take("5");
-  EXPECT_TRUE(parser.midway());
+  EXPECT_TRUE(parser.isInsidePart());
   parser.take("\r\nhello\r\n");
-  EXPECT_FALSE(parser.midway());
+  EXPECT_FALSE(parser.isInsidePart());
   parser.take("0\r\n");
-  EXPECT_TRUE(parser.midway());  // trailers, or the empty line that ends them
+  EXPECT_TRUE(parser.isInsidePart());  // trailers, or the empty line that ends them
   EXPECT_TRUE(headSeen);
 }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -46,7 +46,7 @@
     while (const auto message = reader.next()) sizes.push_back(message->size());
   }
   EXPECT_EQ(sizes, (std::vector<std::size_t>{5, 0, 70000}));
-  EXPECT_FALSE(reader.midMessage());
+  EXPECT_FALSE(reader.isInsideMessage());
 }
 
 TEST(MessageReader, StopsAtFaults) {
@@ -64,9 +64,9 @@
 }
 
 TEST(Codes, OfUnknownNumbersAreUnknown) {
-  EXPECT_EQ(codeOf("0"), Code::kOk);
-  EXPECT_EQ(codeOf("14"), Code::kUnavailable);
-  for (const char* text : {"17", "-1", "", "x", "1x"}) EXPECT_EQ(codeOf(text), Code::kUnknown) << text;
+  EXPECT_EQ(codeFromText("0"), Code::kOk);
+  EXPECT_EQ(codeFromText("14"), Code::kUnavailable);
+  for (const char* text : {"17", "-1", "", "x", "1x"}) EXPECT_EQ(codeFromText(text), Code::kUnknown) << text;
 }
 
 }  // namespace
