--- /dev/null
+++ b/src/http1/client_connection.cpp
@@ -0,0 +1,173 @@
+#include "http1/client_connection.h"
+
+#include <utility>
+
+namespace gannetcourse::http1 {
+namespace {
+
+// After a longer iteration of the loop the machine was stalled, and what it has not read yet may say that
+// the call is no longer wanted.
+const Duration kLongIteration{0.05};
+constexpr int kMaxSendDeferrals = 4;  // of one call
+
+}  // namespace
+
+ClientConnection::ClientConnection(Client& client, const net::Endpoint& endpoint)
+    : client_(client), connection_(client.loop_, *this), endpoint_(endpoint) {}
+
+void ClientConnection::open(CallId call, Client::HeadMaker makeHead, std::shared_ptr<const std::string> body,
+                            std::shared_ptr<ResponseHandler> handler) {
+  startCall(call, std::move(makeHead), std::move(body), std::move(handler));
+  connection_.connect(endpoint_, client_.options_.connectTimeout);
+}
+
+void ClientConnection::startCall(CallId call, Client::HeadMaker makeHead,
+                                 std::shared_ptr<const std::string> body,
+                                 std::shared_ptr<ResponseHandler> handler) {
+  call_ = call;
+  handler_ = std::move(handler);
+  makeHead_ = std::move(makeHead);
+  body_ = std::move(body);
+  requestSent_ = false;
+  sendDeferrals_ = 0;
+  partStartedAt_.reset();
+  parser_ = std::make_unique<ResponseParser>(client_.options_.limits, parserCallbacks());
+  if (connection_.isConnected()) sendRequest();
+}
+
+ResponseParser::Callbacks ClientConnection::parserCallbacks() {
+  ResponseParser::Callbacks callbacks;
+  callbacks.onHead = [this](const ResponseHead& head) {
+    if (handler_) handler_->onHead(head);
+  };
+  callbacks.onBody = [this](std::string_view bytes) {
+    if (handler_) handler_->onBody(bytes);
+  };
+  return callbacks;
+}
+
+bool ClientConnection::isUsable() {
+  if (connection_.isConnected()) connection_.readNow();
+  return state_.isIdle();
+}
+
+void ClientConnection::cancel() {
+  handler_.reset();
+  close();
+}
+
+void ClientConnection::close() {
+  state_.handle(ClientEvent::kAborted);
+  connection_.close();
+  client_.removeConnection(this);
+}
+
+void ClientConnection::checkTimeouts(Instant now) {
+  if (state_.isIdle() && now - lastResponseAt_ > client_.options_.idleTimeout) return close();
+  if (state_.phase() != ClientPhase::kCallInProgress || connection_.isSuspended()) return;
+  if (partStartedAt_ && now - *partStartedAt_ > client_.options_.partialMessageTimeout)
+    fail(CallResult::kMalformed, "a piece of its answer does not end");
+}
+
+void ClientConnection::cancelUnsent() {
+  const bool hasCall =
+      state_.phase() == ClientPhase::kConnecting || state_.phase() == ClientPhase::kCallInProgress;
+  if (hasCall && !requestSent_) fail(CallResult::kNotConnected, "not wanted there any more");
+}
+
+void ClientConnection::pauseReading(bool paused) {
+  connection_.suspend(paused);
+  // The time that reading was paused does not count against the server.
+  if (!paused && partStartedAt_) partStartedAt_ = client_.loop_.now();
+}
+
+void ClientConnection::onConnected() {
+  state_.handle(ClientEvent::kConnected);
+  sendRequest();
+}
+
+void ClientConnection::sendRequest() {
+  const bool stalled = client_.loop_.exactNow() - client_.loop_.now() > kLongIteration;
+  if (stalled && sendDeferrals_ < kMaxSendDeferrals) return deferSend();
+  requestSent_ = true;
+  connection_.append(makeHead_());
+  if (body_) connection_.append(*body_);
+  makeHead_ = nullptr;
+  body_.reset();
+  connection_.flush();
+}
+
+// Events that arrived meanwhile are read first: the client may have disconnected, or its deadline or the
+// engine's drain may have come.
+void ClientConnection::deferSend() {
+  ++sendDeferrals_;
+  client_.loop_.runAfter(net::Loop::kNextIteration,
+                         [this, alive = client_.alive_, self = weak_from_this(), call = call_] {
+                           if (!*alive || self.expired()) return;
+                           if (call_ == call && connection_.isConnected()) sendRequest();
+                         });
+}
+
+void ClientConnection::onBytes(std::span<const std::uint8_t> bytes) {
+  if (!state_.handle(ClientEvent::kBytesReceived)) return close();
+  const ParseState parsed = parser_->consume({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
+  if (state_.phase() != ClientPhase::kCallInProgress) return;
+  trackPartialPart();
+  if (parsed == ParseState::kMalformed) return fail(CallResult::kMalformed, "its answer cannot be read");
+  if (parsed == ParseState::kComplete) finishResponse();
+}
+
+// Guards against a head or chunk that never ends, however steadily its bytes arrive.
+void ClientConnection::trackPartialPart() {
+  const bool newPart = partsSeen_ != parser_->partsStarted();
+  partsSeen_ = parser_->partsStarted();
+  if (!parser_->isInsidePart()) return partStartedAt_.reset();
+  if (newPart || !partStartedAt_) partStartedAt_ = client_.loop_.now();
+}
+
+void ClientConnection::finishResponse() {
+  const std::shared_ptr<ResponseHandler> handler = std::move(handler_);
+  client_.calls_.erase(std::exchange(call_, 0));
+  lastResponseAt_ = client_.loop_.now();
+  const bool reusable =
+      parser_->isConnectionReusable() && connection_.pendingBytes() == 0 && !client_.isRetired(endpoint_);
+  if (state_.handle(reusable ? ClientEvent::kResponseComplete : ClientEvent::kLastResponseComplete)) {
+    client_.loop_.runAfter(client_.options_.settleDelay,
+                           [this, alive = client_.alive_, self = weak_from_this()] {
+                             if (*alive && !self.expired()) becomeIdle();
+                           });
+  } else {
+    close();
+  }
+  if (handler) handler->onEnd(CallResult::kComplete, "");
+}
+
+// Nothing followed the response within the settle delay.
+void ClientConnection::becomeIdle() {
+  if (state_.phase() != ClientPhase::kSettling) return;
+  if (client_.isRetired(endpoint_)) return close();
+  state_.handle(ClientEvent::kSettleTimeElapsed);
+  client_.idleConnections_[endpoint_].push_back(this);
+}
+
+void ClientConnection::onClosed(const std::string& reason) {
+  const bool requestWritten = requestSent_ && connection_.pendingBytes() == 0;
+  state_.handle(ClientEvent::kPeerClosed);
+  client_.removeConnection(this);
+  if (!handler_) return;
+  if (connection_.failedLocally()) ++client_.localConnectFailures_;
+  if (requestWritten) return endCall(CallResult::kConnectionLost, reason);
+  if (connection_.failedLocally()) return endCall(CallResult::kNoConnectionAvailable, reason);
+  endCall(CallResult::kNotConnected, reason);
+}
+
+void ClientConnection::fail(CallResult result, const std::string& reason) {
+  close();
+  if (handler_) endCall(result, reason);
+}
+
+void ClientConnection::endCall(CallResult result, const std::string& reason) {
+  client_.notifyEndLater(call_, std::exchange(handler_, nullptr), result, reason);
+}
+
+}  // namespace gannetcourse::http1
--- a/src/http1/parser.cpp
+++ b/src/http1/parser.cpp
@@ -11,20 +11,26 @@
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
-using Code = beast::error_code;
+using ErrorCode = beast::error_code;
 using Text = beast::string_view;
 using Length = boost::optional<std::uint64_t>;
 
-constexpr int kMostInformational = 16;  // 1xx answers ahead of one
+constexpr int kMaxInformational = 16;  // 1xx responses ahead of one
 constexpr std::string_view kChunkEnd = "\r\n";
+constexpr int kBadRequest = 400;
+constexpr int kContentTooLarge = 413;
+constexpr int kHeaderFieldsTooLarge = 431;
+constexpr int kSwitchingProtocols = 101;
 
 std::string textOf(Text text) { return std::string(text.data(), text.size()); }
 
-// What both directions share: fields, lengths that agree, chunks within their limit.
-template <bool kRequest>
-class Message : public http::basic_parser<kRequest> {
+bool isInformational(int status) { return status / 100 == 1; }
+
+// What both directions share: collects fields, checks that lengths agree and that chunks keep their limit.
+template <bool kIsRequest>
+class MessageParser : public http::basic_parser<kIsRequest> {
  public:
-  explicit Message(const Limits& limits) : limits_(limits) {
+  explicit MessageParser(const Limits& limits) : limits_(limits) {
     this->header_limit(limits.maxHeadBytes);
     this->body_limit(limits.maxBodyBytes > 0 ? Length(limits.maxBodyBytes) : Length());
     this->eager(true);
@@ -33,84 +39,88 @@
   Fields fields;
   std::function<void(std::string_view)> onBody;
   std::function<void()> onHead;
-  std::uint64_t left = 0;    // of the chunk at hand
-  std::uint64_t pieces = 0;  // the head, and chunks begun
+  std::uint64_t chunkBytesLeft = 0;
+  std::uint64_t partsStarted = 0;  // the head, and chunks
 
  protected:
-  void on_request_impl(http::verb, Text, Text, int, Code&) override {}
-  void on_response_impl(int, Text, int, Code&) override {}
-  void on_field_impl(http::field name, Text text, Text value, Code& code) override {
-    if (name == http::field::content_length && ++lengths_ > 1) code = http::error::bad_content_length;
+  void on_request_impl(http::verb, Text, Text, int, ErrorCode&) override {}
+  void on_response_impl(int, Text, int, ErrorCode&) override {}
+  void on_field_impl(http::field name, Text text, Text value, ErrorCode& error) override {
+    if (name == http::field::content_length && ++lengthFields_ > 1) error = http::error::bad_content_length;
     if (name == http::field::transfer_encoding) {
-      if (++codings_ > 1 || !beast::iequals(value, "chunked")) code = http::error::bad_transfer_encoding;
+      ++transferEncodings_;
+      if (transferEncodings_ > 1 || !beast::iequals(value, "chunked"))
+        error = http::error::bad_transfer_encoding;
     }
-    if (lengths_ > 0 && codings_ > 0) code = http::error::bad_content_length;
-    if (!code) fields.add(textOf(text), textOf(value));
+    if (lengthFields_ > 0 && transferEncodings_ > 0) error = http::error::bad_content_length;
+    if (!error) fields.add(textOf(text), textOf(value));
   }
-  void on_header_impl(Code&) override {
-    ++pieces;
+  void on_header_impl(ErrorCode&) override {
+    ++partsStarted;
     if (onHead) onHead();
   }
-  void on_body_init_impl(const Length&, Code&) override {}
-  std::size_t on_body_impl(Text body, Code&) override {
+  void on_body_init_impl(const Length&, ErrorCode&) override {}
+  std::size_t on_body_impl(Text body, ErrorCode&) override {
     if (onBody) onBody({body.data(), body.size()});
     return body.size();
   }
-  void on_chunk_header_impl(std::uint64_t size, Text, Code& code) override {
-    left = size;
-    ++pieces;
-    if (limits_.maxBodyBytes > 0 && size > limits_.maxBodyBytes) code = http::error::body_limit;
+  void on_chunk_header_impl(std::uint64_t size, Text, ErrorCode& error) override {
+    chunkBytesLeft = size;
+    ++partsStarted;
+    if (limits_.maxBodyBytes > 0 && size > limits_.maxBodyBytes) error = http::error::body_limit;
   }
-  std::size_t on_chunk_body_impl(std::uint64_t remain, Text body, Code&) override {
-    left = remain - body.size();
+  std::size_t on_chunk_body_impl(std::uint64_t remain, Text body, ErrorCode&) override {
+    chunkBytesLeft = remain - body.size();
     if (onBody && !body.empty()) onBody({body.data(), body.size()});
     return body.size();
   }
-  void on_finish_impl(Code&) override { left = 0; }
+  void on_finish_impl(ErrorCode&) override { chunkBytesLeft = 0; }
 
  private:
   Limits limits_;
-  int lengths_ = 0, codings_ = 0;
+  int lengthFields_ = 0;
+  int transferEncodings_ = 0;
 };
 
-class Asked final : public Message<true> {
+class RequestMessage final : public MessageParser<true> {
  public:
-  using Message::Message;
-  std::string method, target;
+  using MessageParser::MessageParser;
+  std::string method;
+  std::string target;
 
  private:
-  void on_request_impl(http::verb, Text verb, Text path, int, Code&) override {
+  void on_request_impl(http::verb, Text verb, Text path, int, ErrorCode&) override {
     method = textOf(verb);
     target = textOf(path);
   }
 };
 
-class Answered final : public Message<false> {
+class ResponseMessage final : public MessageParser<false> {
  public:
-  using Message::Message;
+  using MessageParser::MessageParser;
   int status = 0;
 
  private:
-  void on_response_impl(int code, Text, int, Code&) override { status = code; }
+  void on_response_impl(int code, Text, int, ErrorCode&) override { status = code; }
 };
 
-// Feeds what is kept; what has been used is dropped.
+// Feeds `buffer` to the parser, and removes from it what was parsed.
 template <class Parser>
-ParseState feed(Parser& parser, std::string& kept, Code& code) {
-  std::size_t used = 0;
-  code = {};
-  while (!parser.is_done() && used < kept.size()) {
-    const std::size_t some =
-        parser.put(boost::asio::const_buffer(kept.data() + used, kept.size() - used), code);
-    used += some;
-    if (code == http::error::need_more) {
-      code = {};
+ParseState feed(Parser& parser, std::string& buffer, ErrorCode& error) {
+  std::size_t parsed = 0;
+  error = {};
+  while (!parser.is_done() && parsed < buffer.size()) {
+    const std::size_t size =
+        parser.put(boost::asio::const_buffer(buffer.data() + parsed, buffer.size() - parsed), error);
+    parsed += size;
+    if (error == http::error::need_more) {
+      error = {};
       break;
     }
-    if (code || some == 0) break;
+    if (error || size == 0) break;
   }
-  kept.erase(0, used);
-  if (code) return ParseState::kMalformed;
+  buffer.erase(0, parsed);
+  if (error) return ParseState::kMalformed;
   return parser.is_done() ? ParseState::kComplete : ParseState::kNeedMore;
 }
 
@@ -132,8 +142,9 @@
 }
 
 std::size_t Fields::count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(
-      fields_.begin(), fields_.end(), [&](const auto& f) { return equalsIgnoreCase(f.first, name); }));
+  return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(), [&](const auto& field) {
+    return equalsIgnoreCase(field.first, name);
+  }));
 }
 
 class RequestParser::Impl {
@@ -141,115 +152,130 @@
   explicit Impl(const Limits& limits) : limits_(limits) { next(); }
 
   void next() {
-    parser_.emplace(limits_);
+    message_.emplace(limits_);
     request_ = {};
-    status_ = 400;
-    parser_->onBody = [this](std::string_view bytes) { request_.body.append(bytes); };
+    errorStatus_ = kBadRequest;
+    message_->onBody = [this](std::string_view bytes) { request_.body.append(bytes); };
   }
 
   bool append(std::string_view bytes) {
-    if (kept_.size() + bytes.size() > limits_.maxHeadBytes + limits_.maxBodyBytes + limits_.maxPipelinedBytes)
-      return false;
-    kept_.append(bytes);
+    const std::uint64_t maxBytes = limits_.maxHeadBytes + limits_.maxBodyBytes + limits_.maxPipelinedBytes;
+    if (buffer_.size() + bytes.size() > maxBytes) return false;
+    buffer_.append(bytes);
     return true;
   }
 
   ParseState parse() {
-    Code code;
-    const ParseState state = feed(*parser_, kept_, code);
-    if (code == http::error::body_limit) status_ = 413;
-    if (code == http::error::header_limit) status_ = 431;
+    ErrorCode error;
+    const ParseState state = feed(*message_, buffer_, error);
+    if (error == http::error::body_limit) errorStatus_ = kContentTooLarge;
+    if (error == http::error::header_limit) errorStatus_ = kHeaderFieldsTooLarge;
     if (state != ParseState::kComplete) return state;
-    request_.method = parser_->method;
-    request_.target = parser_->target;
-    request_.fields = std::move(parser_->fields);
-    request_.keepAlive = parser_->keep_alive();
+    request_.method = message_->method;
+    request_.target = message_->target;
+    request_.fields = std::move(message_->fields);
+    request_.keepAlive = message_->keep_alive();
     return state;
   }
 
+  Request& request() { return request_; }
+  int errorStatus() const { return errorStatus_; }
+  bool started() const { return !buffer_.empty() || message_->got_some(); }
+  std::uint64_t bufferedBytes() const { return buffer_.capacity() + request_.body.capacity(); }
+  std::size_t unparsedBytes() const { return buffer_.size(); }
+
+ private:
   Limits limits_;
-  std::optional<Asked> parser_;
+  std::optional<RequestMessage> message_;
   Request request_;
-  std::string kept_;
-  int status_ = 400;
+  std::string buffer_;
+  int errorStatus_ = kBadRequest;
 };
 
 RequestParser::RequestParser(Limits limits) : impl_(std::make_unique<Impl>(limits)) {}
 RequestParser::~RequestParser() = default;
 bool RequestParser::append(std::string_view bytes) { return impl_->append(bytes); }
 ParseState RequestParser::parse() { return impl_->parse(); }
-Request& RequestParser::request() { return impl_->request_; }
-int RequestParser::errorStatus() const { return impl_->status_; }
-bool RequestParser::started() const { return !impl_->kept_.empty() || impl_->parser_->got_some(); }
-std::uint64_t RequestParser::bufferedBytes() const {
-  return impl_->kept_.capacity() + impl_->request_.body.capacity();
-}
-std::size_t RequestParser::unparsedBytes() const { return impl_->kept_.size(); }
+Request& RequestParser::request() { return impl_->request(); }
+int RequestParser::errorStatus() const { return impl_->errorStatus(); }
+bool RequestParser::started() const { return impl_->started(); }
+std::uint64_t RequestParser::bufferedBytes() const { return impl_->bufferedBytes(); }
+std::size_t RequestParser::unparsedBytes() const { return impl_->unparsedBytes(); }
 void RequestParser::next() { impl_->next(); }
 
 class ResponseParser::Impl {
  public:
-  Impl(const Limits& limits, Told told) : limits_(limits), told_(std::move(told)) { renew(); }
+  Impl(const Limits& limits, Callbacks callbacks) : limits_(limits), callbacks_(std::move(callbacks)) {
+    startMessage();
+  }
 
-  ParseState take(std::string_view bytes) {
-    if (state_ == ParseState::kComplete) behind_ = true;
+  ParseState consume(std::string_view bytes) {
+    if (state_ == ParseState::kComplete) hasTrailingBytes_ = true;
     if (state_ != ParseState::kNeedMore) return state_;
-    kept_.append(bytes);
+    buffer_.append(bytes);
     do {
-      again_ = false;
-      Code code;
-      state_ = feed(*parser_, kept_, code);
-      if (state_ == ParseState::kComplete && parser_->status / 100 == 1) skip();
-    } while (again_);
-    if (state_ == ParseState::kNeedMore && kept_.size() > limits_.maxHeadBytes)
+      parseAgain_ = false;
+      ErrorCode error;
+      state_ = feed(*message_, buffer_, error);
+      if (state_ == ParseState::kComplete && isInformational(message_->status)) skipInformational();
+    } while (parseAgain_);
+    if (state_ == ParseState::kNeedMore && buffer_.size() > limits_.maxHeadBytes)
       state_ = ParseState::kMalformed;
-    if (state_ == ParseState::kComplete) behind_ = !kept_.empty();
+    if (state_ == ParseState::kComplete) hasTrailingBytes_ = !buffer_.empty();
     return state_;
   }
 
-  bool midway() const {
+  bool isInsidePart() const {
     if (state_ != ParseState::kNeedMore) return false;
-    if (!parser_->is_header_done()) return !kept_.empty() || parser_->got_some();
-    return parser_->left > 0 || !betweenChunks();
+    if (!message_->is_header_done()) return !buffer_.empty() || message_->got_some();
+    return message_->chunkBytesLeft > 0 || !isBetweenChunks();
   }
 
-  // The parser takes the line end behind a chunk as the beginning of what follows: alone it is nothing begun.
-  bool betweenChunks() const { return kChunkEnd.substr(0, kept_.size()) == kept_; }
+  std::uint64_t partsStarted() const { return message_->partsStarted; }
 
-  Limits limits_;
-  Told told_;
-  std::optional<Answered> parser_;
-  std::string kept_;
-  ParseState state_ = ParseState::kNeedMore;
-  bool behind_ = false, again_ = false;
-  int skipped_ = 0;
+  bool isConnectionReusable() const {
+    return state_ == ParseState::kComplete && !hasTrailingBytes_ && message_->keep_alive();
+  }
 
  private:
-  void renew() {
-    parser_.emplace(limits_);
-    parser_->onBody = [this](std::string_view bytes) { told_.body(bytes); };
-    parser_->onHead = [this] {
-      if (parser_->status / 100 == 1) return;
-      told_.head(ResponseHead{parser_->status, parser_->fields});
+  void startMessage() {
+    message_.emplace(limits_);
+    message_->onBody = [this](std::string_view bytes) { callbacks_.onBody(bytes); };
+    message_->onHead = [this] {
+      if (isInformational(message_->status)) return;
+      callbacks_.onHead(ResponseHead{message_->status, message_->fields});
     };
   }
 
-  void skip() {
-    const bool bad = parser_->status == 101 || ++skipped_ > kMostInformational;
-    renew();
-    state_ = bad ? ParseState::kMalformed : ParseState::kNeedMore;
-    again_ = !bad && !kept_.empty();
+  void skipInformational() {
+    ++informationalSkipped_;
+    const bool malformed =
+        message_->status == kSwitchingProtocols || informationalSkipped_ > kMaxInformational;
+    startMessage();
+    state_ = malformed ? ParseState::kMalformed : ParseState::kNeedMore;
+    parseAgain_ = !malformed && !buffer_.empty();
   }
+
+  // The parser leaves the line end behind a chunk in the buffer, as the start of what follows: alone it does
+  // not count as a part that has begun.
+  bool isBetweenChunks() const { return kChunkEnd.substr(0, buffer_.size()) == buffer_; }
+
+  Limits limits_;
+  Callbacks callbacks_;
+  std::optional<ResponseMessage> message_;
+  std::string buffer_;
+  ParseState state_ = ParseState::kNeedMore;
+  bool hasTrailingBytes_ = false;
+  bool parseAgain_ = false;
+  int informationalSkipped_ = 0;
 };
 
-ResponseParser::ResponseParser(Limits limits, Told told)
-    : impl_(std::make_unique<Impl>(limits, std::move(told))) {}
+ResponseParser::ResponseParser(Limits limits, Callbacks callbacks)
+    : impl_(std::make_unique<Impl>(limits, std::move(callbacks))) {}
 ResponseParser::~ResponseParser() = default;
-ParseState ResponseParser::take(std::string_view bytes) { return impl_->take(bytes); }
-bool ResponseParser::isInsidePart() const { return impl_->midway(); }
-std::uint64_t ResponseParser::partsStarted() const { return impl_->parser_->pieces; }
-bool ResponseParser::isConnectionReusable() const {
-  return impl_->state_ == ParseState::kComplete && !impl_->behind_ && impl_->parser_->keep_alive();
-}
+ParseState ResponseParser::consume(std::string_view bytes) { return impl_->consume(bytes); }
+bool ResponseParser::isInsidePart() const { return impl_->isInsidePart(); }
+std::uint64_t ResponseParser::partsStarted() const { return impl_->partsStarted(); }
+bool ResponseParser::isConnectionReusable() const { return impl_->isConnectionReusable(); }
 
 }  // namespace gannetcourse::http1
--- a/src/http1/parser.h
+++ b/src/http1/parser.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages out of bytes, for both sides, by Boost.Beast's parser. No sockets, clock or services.
+// Incremental parsing of HTTP/1.1 messages, for both sides, on Boost.Beast's parser. No sockets or clock.
 #pragma once
 
 #include <cstddef>
@@ -12,38 +12,42 @@
 
 namespace gannetcourse::http1 {
 
+/// Limits of a message, in bytes.
 struct Limits {
-  std::uint32_t maxHeadBytes = 16 * 1024;      // bytes of a head
-  std::uint64_t maxBodyBytes = 256 * 1024;     // bytes of a body, and of one chunk; 0 = bodies without limit
-  std::size_t maxPipelinedBytes = 512 * 1024;  // bytes that may wait behind a message
+  std::uint32_t maxHeadBytes = 16 * 1024;      ///< Of a head.
+  std::uint64_t maxBodyBytes = 256 * 1024;     ///< Of a body, and of one chunk; 0 = unlimited.
+  std::size_t maxPipelinedBytes = 512 * 1024;  ///< That may wait behind a message.
 };
 
+/// Header fields in the order of arrival. Names are compared without case.
 class Fields {
  public:
   void add(std::string name, std::string value);
-  // The value, or null where the field is missing. Names are compared without case.
+  /// The first value under `name`, or null where the field is missing.
   const std::string* find(std::string_view name) const;
   std::size_t count(std::string_view name) const;
-  const std::vector<std::pair<std::string, std::string>>& all() const { return fields_; }  // as they came
+  const std::vector<std::pair<std::string, std::string>>& all() const { return fields_; }
 
  private:
   std::vector<std::pair<std::string, std::string>> fields_;
 };
 
-// Whether two names of fields are the same: case does not count.
+/// Whether two field names are equal; case does not count.
 bool equalsIgnoreCase(std::string_view a, std::string_view b);
 
+/// A complete request.
 struct Request {
-  std::string method, target;
+  std::string method;
+  std::string target;
   Fields fields;
   std::string body;
-  bool keepAlive = true;
+  bool keepAlive = true;  ///< The client wants to reuse the connection.
 };
 
 enum class ParseState { kNeedMore, kComplete, kMalformed };
 
-// One request after another. Lengths that are repeated, conflict, or stand beside a Transfer-Encoding are
-// refused: they may hide a request in a body.
+/// Parses one request after another. Lengths that are repeated, conflict, or stand beside a
+/// Transfer-Encoding are malformed: they may hide a request in a body (request smuggling).
 class RequestParser {
  public:
   explicit RequestParser(Limits limits);
@@ -51,42 +55,51 @@
   RequestParser(const RequestParser&) = delete;
   RequestParser& operator=(const RequestParser&) = delete;
 
-  // Keeps the bytes for parse(). False where more wait than the limits allow.
+  /// Buffers bytes for parse(). False, without buffering them, where the limits do not allow as many.
   bool append(std::string_view bytes);
+  /// Parses what is buffered, up to the end of one request.
   ParseState parse();
+  /// The request; complete once parse() has returned kComplete. The caller may move it out.
   Request& request();
-  int errorStatus() const;              // what to answer to one that is kBad
-  bool started() const;                 // bytes of a request that is not whole have come
-  std::uint64_t bufferedBytes() const;  // bytes of memory it keeps for the request
-  std::size_t unparsedBytes() const;    // bytes not read as part of a request yet
-  void next();                          // after kWhole: what waits behind it is the next request
+  int errorStatus() const;              ///< HTTP status for a malformed request.
+  bool started() const;                 ///< Bytes of an incomplete request have arrived.
+  std::uint64_t bufferedBytes() const;  ///< Memory used for the request.
+  std::size_t unparsedBytes() const;    ///< Bytes not parsed as part of a request yet.
+  /// After kComplete: continues with the bytes that follow the request.
+  void next();
 
  private:
   class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
+/// Status and fields of a response.
 struct ResponseHead {
   int status = 0;
   Fields fields;
 };
 
-// One response, its body told as it comes. Answers of 1xx ahead of it are passed over.
+/// Parses one response and passes its body on as it arrives. Informational responses (1xx) ahead of it are
+/// skipped.
 class ResponseParser {
  public:
-  struct Told {
-    std::function<void(const ResponseHead&)> head;
-    std::function<void(std::string_view)> body;
+  /// Called from consume(); both must be set.
+  struct Callbacks {
+    std::function<void(const ResponseHead&)> onHead;
+    std::function<void(std::string_view)> onBody;
   };
-  ResponseParser(Limits limits, Told told);
+  ResponseParser(Limits limits, Callbacks callbacks);
   ~ResponseParser();
   ResponseParser(const ResponseParser&) = delete;
   ResponseParser& operator=(const ResponseParser&) = delete;
 
-  ParseState take(std::string_view bytes);
-  bool isInsidePart() const;           // inside a head or a chunk: more must come
-  std::uint64_t partsStarted() const;  // heads and chunks begun so far
-  bool isConnectionReusable() const;   // whole, nothing behind it, and its sender keeps the connection
+  ParseState consume(std::string_view bytes);
+  /// Whether a head or chunk has begun and not ended.
+  bool isInsidePart() const;
+  /// Heads and chunks begun so far.
+  std::uint64_t partsStarted() const;
+  /// Whether the response is complete, nothing follows it, and the server keeps the connection alive.
+  bool isConnectionReusable() const;
 
  private:
   class Impl;
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -89,7 +89,7 @@
   ResponseParser parser(Limits{}, {[&](const ResponseHead& head) { answer.status = head.status; },
                                    [&](std::string_view body) { answer.body += body; }});
   for (std::size_t i = 0; i < bytes.size() && answer.state == ParseState::kNeedMore; i += step)
-    answer.state = parser.take(std::string_view(bytes).substr(i, step));
+    answer.state = parser.consume(std::string_view(bytes).substr(i, step));
   if (reusable != nullptr) *reusable = parser.isConnectionReusable();
   return answer;
 }
@@ -129,23 +129,23 @@
   bool headSeen = false;
   ResponseParser parser(Limits{}, {[&](const ResponseHead&) { headSeen = true; }, [](std::string_view) {}});
   EXPECT_FALSE(parser.isInsidePart());
-  parser.take("HTTP/1.1 200 OK\r\nTransfer-Enc");
+  parser.consume("HTTP/1.1 200 OK\r\nTransfer-Enc");
   EXPECT_TRUE(parser.isInsidePart());
-  parser.take("oding: chunked\r\n\r\n");
+  parser.consume("oding: chunked\r\n\r\n");
   EXPECT_FALSE(parser.isInsidePart());
-  parser.take("a\r\nhello");
+  parser.consume("a\r\nhello");
   EXPECT_TRUE(parser.isInsidePart());
-  parser.take("12345");
+  parser.consume("12345");
   EXPECT_FALSE(parser.isInsidePart());
-  parser.take("\r");
+  parser.consume("\r");
   EXPECT_FALSE(parser.isInsidePart());
-  parser.take("\n");
+  parser.consume("\n");
   EXPECT_FALSE(parser.isInsidePart());  // the next chunk may come in a second or in a minute
-  parser.take("5");
+  parser.consume("5");
   EXPECT_TRUE(parser.isInsidePart());
-  parser.take("\r\nhello\r\n");
+  parser.consume("\r\nhello\r\n");
   EXPECT_FALSE(parser.isInsidePart());
-  parser.take("0\r\n");
+  parser.consume("0\r\n");
   EXPECT_TRUE(parser.isInsidePart());  // trailers, or the empty line that ends them
   EXPECT_TRUE(headSeen);
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -18,7 +18,7 @@
     std::string body;
     http1::ResponseParser parser(
         http1::Limits{}, {[](const http1::ResponseHead&) {}, [&](std::string_view bytes) { body += bytes; }});
-    EXPECT_EQ(parser.take(peer->got), http1::ParseState::kComplete);
+    EXPECT_EQ(parser.consume(peer->got), http1::ParseState::kComplete);
     EXPECT_EQ(body, eventOf("a") + eventOf("b") + kDone);
     ASSERT_TRUE(until([&] { return node->engines().idleConnections() == 2; }));
   }
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -34,7 +34,7 @@
     std::string body;
     http1::ResponseParser parser(
         http1::Limits{}, {[](const http1::ResponseHead&) {}, [&](std::string_view bytes) { body += bytes; }});
-    EXPECT_NE(parser.take(answer), http1::ParseState::kMalformed);
+    EXPECT_NE(parser.consume(answer), http1::ParseState::kMalformed);
     return body;
   }
 };
