--- a/src/engines/grpc_engine_transport.cpp
+++ b/src/engines/grpc_engine_transport.cpp
@@ -94,7 +94,7 @@
   }
   for (auto it = engines_.begin(); it != engines_.end();) {
     Engine& engine = it->second;
-    const bool unused = engine.removed && (!engine.channel || engine.channel->connections() == 0);
+    const bool unused = engine.removed && (!engine.channel || engine.channel->connectionCount() == 0);
     if (!unused) {
       ++it;
       continue;
