--- a/src/daemon/platform.cpp
+++ b/src/daemon/platform.cpp
@@ -100,7 +100,7 @@
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, kTrimAbove);
   try {
-    const std::string path = platform::configurationPath();
+    const std::string path = platform::configurationPathFromEnvironment();
     const platform::Configuration configuration =
         net::retryOn<platform::IncompleteConfiguration>(kFileWithin, [&path] {
           return net::retryOn<std::system_error>(kResourcesWithin,
@@ -132,7 +132,7 @@
       };
       log.write("daemon", "info", "listening on port " + std::to_string(node->port()));
       loop.run();
-      log.write("daemon", "info", "drained: " + node->account());
+      log.write("daemon", "info", "drained: " + node->statisticsLine());
     }
     log.endWithin(kLogWithin);
     return 0;
--- a/src/instance/instance.h
+++ b/src/instance/instance.h
@@ -15,45 +15,46 @@
 
 using Json = nlohmann::json;
 
-struct Malformed : std::runtime_error {
+struct MalformedInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // ---- Fields of an object. Each throws Malformed, naming the field, where it is of the wrong kind. ----
-const Json* find(const Json& object, const char* key);  // null where it is missing or null
-const Json& need(const Json& object, const char* key);
-[[noreturn]] void wrongType(const char* key, const char* wanted);
-std::string asText(const Json& value, const char* key);
+const Json* findField(const Json& object, const char* key);  // null where it is missing or null
+const Json& requireField(const Json& object, const char* key);
+[[noreturn]] void throwWrongType(const char* key, const char* wanted);
+std::string asString(const Json& value, const char* key);
 double asNumber(const Json& value, const char* key);
 bool asBool(const Json& value, const char* key);
 std::uint64_t asUnsigned(const Json& value, const char* key, std::uint64_t most);
-std::string text(const Json& object, const char* key);
-double number(const Json& object, const char* key, double otherwise);
-Duration seconds(const Json& object, const char* key, double otherwise);
-bool flag(const Json& object, const char* key);
-std::string word(const Json& object, const char* key, const char* otherwise);
-std::size_t integer(const Json& object, const char* key, std::uint64_t otherwise, std::uint64_t most);
-std::uint64_t key(const Json& object, const char* name);  // of 1 to 16 hex digits; 0 where it is missing
-const Json& part(const Json& object, const char* name);   // empty where it is missing
-const Json& list(const Json& object, const char* name);
-std::optional<std::uint64_t> hexKey(const std::string& digits);
-std::optional<std::size_t> position(const std::vector<std::string>& names, const std::string& name);
+std::string requireString(const Json& object, const char* key);
+double numberOr(const Json& object, const char* key, double otherwise);
+Duration secondsOr(const Json& object, const char* key, double otherwise);
+bool boolOrFalse(const Json& object, const char* key);
+std::string stringOr(const Json& object, const char* key, const char* otherwise);
+std::size_t unsignedOr(const Json& object, const char* key, std::uint64_t otherwise, std::uint64_t most);
+std::uint64_t hexKeyOrZero(const Json& object,
+                           const char* name);  // of 1 to 16 hex digits; 0 where it is missing
+const Json& objectOrEmpty(const Json& object, const char* name);  // empty where it is missing
+const Json& arrayOrEmpty(const Json& object, const char* name);
+std::optional<std::uint64_t> parseHexKey(const std::string& digits);
+std::optional<std::size_t> indexOf(const std::vector<std::string>& names, const std::string& name);
 
 // The names of one instance's settings, which the module's interface knows by number only.
-struct Names {
-  std::vector<std::string> classes, tenants, zones, kinds, roles;
-  std::vector<double> memory;
-  std::vector<double> tokenAim;
+struct InstanceNames {
+  std::vector<std::string> classes, tenants, zones, engineKinds, kindRoles;
+  std::vector<double> kindMemoryTokens;
+  std::vector<double> interTokenObjectives;
 
-  std::uint32_t zone(const std::string& name) const;  // an unknown zone is apart from all others
+  std::uint32_t zoneIndex(const std::string& name) const;  // an unknown zone is apart from all others
   // Fills in what a server's kind and zone stand for.
-  void describe(EngineEntry& server, const std::string& kind, const std::string& zone) const;
+  void describeEngine(EngineEntry& server, const std::string& kind, const std::string& zone) const;
 };
 
-Settings readSettings(const Json& options, std::uint64_t seed, Names& names);
+Settings readSettings(const Json& options, std::uint64_t seed, InstanceNames& names);
 
 // A figure of a load report by its name in the settings.
-bool isIndicator(const std::string& name);
-void take(LoadReport& load, const std::string& name, double value);
+bool isLoadMetric(const std::string& name);
+void setLoadMetric(LoadReport& load, const std::string& name, double value);
 
 }  // namespace gannetcourse::instance
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -13,13 +13,13 @@
 
 struct Configuration {
   std::string name;
-  net::Endpoint listen, discovery;
-  std::uint64_t memoryMb = 192;
-  std::size_t sockets = 1024;
-  Settings policy;
-  instance::Names names;
-  Duration connIdle{15}, connectTimeout{0.25};  // of connections to engines
-  instance::Json known;                         // the list of engines as last had; null = none
+  net::Endpoint listenEndpoint, discoveryEndpoint;
+  std::uint64_t memoryLimitMb = 192;
+  std::size_t socketLimit = 1024;
+  Settings policySettings;
+  instance::InstanceNames names;
+  Duration engineIdleTimeout{15}, engineConnectTimeout{0.25};  // of connections to engines
+  instance::Json knownEngineList;                              // the list of engines as last had; null = none
 };
 
 // The file is no JSON: it may still be written.
@@ -33,14 +33,14 @@
 Configuration loadConfiguration(const std::string& path);
 
 // What NODE_CONFIG names. Throws std::runtime_error where the variable is missing.
-std::string configurationPath();
+std::string configurationPathFromEnvironment();
 
 // How many of what a node may hold, out of its limits. Clients' requests are few against the descriptors;
 // what engines may take is more than the open requests, as connections are kept and releases need some too.
-struct Bounds {
-  std::size_t clientConnections = 0, engineConnections = 0, openRequests = 0;
-  std::uint64_t heldBytes = 0;  // of requests, whole or not
+struct NodeLimits {
+  std::size_t maxClientConnections = 0, maxEngineConnections = 0, maxOpenRequests = 0;
+  std::uint64_t maxBufferedBytes = 0;  // of requests, whole or not
 };
-Bounds boundsOf(const Configuration& configuration);
+NodeLimits limitsOf(const Configuration& configuration);
 
 }  // namespace gannetcourse::platform
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -30,26 +30,27 @@
 }
 
 // What an engine that is to be sent work has to tell of itself. Throws instance::Malformed.
-void readDescription(ToldEngine& told, const Json& entry, const instance::Names& names,
+void readDescription(EngineListMessageEntry& told, const Json& entry, const instance::InstanceNames& names,
                      const net::WallClock& clock) {
-  told.address = net::parseEndpoint(instance::word(entry, "address", ""));
-  names.describe(told.entry, instance::word(entry, "type", ""), instance::word(entry, "zone", ""));
-  told.entry.cell = static_cast<std::uint32_t>(instance::integer(entry, "group", 0, 0xffffffffU));
-  told.entry.startedAt = clock.instant(static_cast<std::int64_t>(instance::number(entry, "since_ms", 0)));
+  told.address = net::parseEndpoint(instance::stringOr(entry, "address", ""));
+  names.describeEngine(told.entry, instance::stringOr(entry, "type", ""),
+                       instance::stringOr(entry, "zone", ""));
+  told.entry.cell = static_cast<std::uint32_t>(instance::unsignedOr(entry, "group", 0, 0xffffffffU));
+  told.entry.startedAt = clock.instant(static_cast<std::int64_t>(instance::numberOr(entry, "since_ms", 0)));
 }
 
 // Nothing where the engine cannot be sent work by what its entry says. A drain or removal counts whatever
 // else its entry says: to pass it over would be to go on sending.
-std::optional<ToldEngine> readTarget(const Json& entry, const instance::Names& names,
-                                     const net::WallClock& clock) {
+std::optional<EngineListMessageEntry> readTarget(const Json& entry, const instance::InstanceNames& names,
+                                                 const net::WallClock& clock) {
   if (!entry.is_object()) return std::nullopt;
-  ToldEngine told;
-  told.entry.id = numberOf(instance::text(entry, "name"));
-  told.entry.state = stateOf(instance::word(entry, "status", "up"));
+  EngineListMessageEntry told;
+  told.entry.id = engineIdOf(instance::requireString(entry, "name"));
+  told.entry.state = stateOf(instance::stringOr(entry, "status", "up"));
   const bool serves = told.entry.state == EngineEntry::State::kServing;
   try {
     readDescription(told, entry, names, clock);
-  } catch (const instance::Malformed&) {
+  } catch (const instance::MalformedInput&) {
     if (serves) throw;
   }
   if (serves && !told.address) return std::nullopt;
@@ -58,41 +59,43 @@
 
 }  // namespace
 
-EngineListUpdate ToldList::forPolicy() const {
-  EngineListUpdate list{full ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta, {}};
-  for (const ToldEngine& engine : engines) list.entries.push_back(engine.entry);
+EngineListUpdate EngineListMessage::toUpdate() const {
+  EngineListUpdate list{isSnapshot ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta,
+                        {}};
+  for (const EngineListMessageEntry& engine : engines) list.entries.push_back(engine.entry);
   return list;
 }
 
 // FNV-1a, 32 bits. Homes of sessions go by these numbers: nodes of all versions must agree on them, and
 // another hash moves every home.
-EngineId numberOf(const std::string& name) {
+EngineId engineIdOf(const std::string& name) {
   std::uint32_t hash = 2166136261U;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
   return {hash};
 }
 
-std::optional<ToldList> readTargets(const Json& object, const instance::Names& names,
-                                    const net::WallClock& clock) {
+std::optional<EngineListMessage> parseEngineListMessage(const Json& object,
+                                                        const instance::InstanceNames& names,
+                                                        const net::WallClock& clock) {
   if (!object.is_object()) return std::nullopt;
-  ToldList list;
+  EngineListMessage list;
   try {
-    list.index = instance::integer(object, "index", 0, UINT64_MAX);
-    list.full = instance::flag(object, "snapshot");
-    for (const Json& entry : instance::list(object, "endpoints")) {
+    list.index = instance::unsignedOr(object, "index", 0, UINT64_MAX);
+    list.isSnapshot = instance::boolOrFalse(object, "snapshot");
+    for (const Json& entry : instance::arrayOrEmpty(object, "endpoints")) {
       try {
         if (auto told = readTarget(entry, names, clock)) list.engines.push_back(std::move(*told));
-      } catch (const instance::Malformed&) {  // one entry of another kind hides no other
+      } catch (const instance::MalformedInput&) {  // one entry of another kind hides no other
       }
     }
-  } catch (const instance::Malformed&) {
+  } catch (const instance::MalformedInput&) {
     return std::nullopt;
   }
   return list;
 }
 
 // ---- Objects out of the bytes of a watch ----
-bool ObjectCutter::take(std::string_view bytes, const std::function<void(std::string object)>& tell) {
+bool JsonStreamSplitter::feed(std::string_view bytes, const std::function<void(std::string object)>& tell) {
   bool alive = false;
   for (const char c : bytes) {
     if (depth_ == 0 && c != '{') {
@@ -101,11 +104,11 @@
     }
     object_.push_back(c);
     if (std::exchange(escaped_, false)) continue;
-    if (quoted_) {
+    if (inString_) {
       escaped_ = c == '\\';
-      quoted_ = c != '"';
+      inString_ = c != '"';
     } else if (c == '"') {
-      quoted_ = true;
+      inString_ = true;
     } else if (c == '{' || c == '[') {
       ++depth_;
     } else if ((c == '}' || c == ']') && --depth_ == 0) {
@@ -118,140 +121,141 @@
 }
 
 // ---- Which lists are news ----
-ListVersion::Verdict ListVersion::look(std::uint64_t index, bool whole, Instant now) {
-  if (index < held_) {
-    if (!olderSince_) olderSince_ = now;
-    if (!whole || now - *olderSince_ < kOlderFor) return Verdict::kAskWhole;
+EngineListVersion::Decision EngineListVersion::classify(std::uint64_t index, bool whole, Instant now) {
+  if (index < latestIndex_) {
+    if (!staleSince_) staleSince_ = now;
+    if (!whole || now - *staleSince_ < kOlderFor) return Decision::kResync;
   }
-  held_ = index;
-  olderSince_.reset();
-  return Verdict::kTake;
+  latestIndex_ = index;
+  staleSince_.reset();
+  return Decision::kApply;
 }
 
 // ---- The watch ----
-class Watch::Stream final : public http1::ResponseHandler,
-                            public std::enable_shared_from_this<Watch::Stream> {
+class DiscoveryWatch::Stream final : public http1::ResponseHandler,
+                                     public std::enable_shared_from_this<DiscoveryWatch::Stream> {
  public:
-  explicit Stream(Watch& watch) : watch_(&watch), openedAt(watch.loop_.now()), heardAt(openedAt) {}
-  void onHead(const http1::ResponseHead& head) override { good_ = head.status == 200; }
+  explicit Stream(DiscoveryWatch& watch)
+      : watch_(&watch), openedAt(watch.loop_.now()), lastActivityAt(openedAt) {}
+  void onHead(const http1::ResponseHead& head) override { statusOk_ = head.status == 200; }
   void onBody(std::string_view bytes) override {
     const std::shared_ptr<Stream> self = shared_from_this();
-    if (watch_ == nullptr || !good_) return;
-    const bool alive = cutter_.take(bytes, [this](const std::string& object) {
-      if (watch_ != nullptr) watch_->spoke(*this, &object);
+    if (watch_ == nullptr || !statusOk_) return;
+    const bool alive = splitter_.feed(bytes, [this](const std::string& object) {
+      if (watch_ != nullptr) watch_->onActivity(*this, &object);
     });
-    if (alive && watch_ != nullptr) watch_->spoke(*this, nullptr);
+    if (alive && watch_ != nullptr) watch_->onActivity(*this, nullptr);
   }
   void onEnd(http1::CallResult, const std::string&) override {
     const std::shared_ptr<Stream> self = shared_from_this();
-    if (watch_ != nullptr) watch_->ended(self);
+    if (watch_ != nullptr) watch_->onStreamEnded(self);
   }
-  void leave() {
+  void close() {
     if (watch_ != nullptr) std::exchange(watch_, nullptr)->client_.cancel(call);
   }
 
  private:
-  Watch* watch_;
-  ObjectCutter cutter_;
-  bool good_ = false;
+  DiscoveryWatch* watch_;
+  JsonStreamSplitter splitter_;
+  bool statusOk_ = false;
 
  public:
   http1::CallId call = 0;
   const Instant openedAt;
-  Instant heardAt;
+  Instant lastActivityAt;
 };
 
-Watch::Watch(net::Loop& loop, const net::Endpoint& at, std::uint64_t from, std::uint64_t seed, Told told,
-             Note note)
+DiscoveryWatch::DiscoveryWatch(net::Loop& loop, const net::Endpoint& at, std::uint64_t from,
+                               std::uint64_t seed, ObjectHandler told, LogHandler note)
     : loop_(loop),
-      at_(at),
-      index_(from),
+      endpoint_(at),
+      resumeIndex_(from),
       random_(seed),
-      told_(std::move(told)),
-      note_(std::move(note)),
+      onObject_(std::move(told)),
+      log_(std::move(note)),
       client_(loop, watchOptions()) {
-  openBeside();
-  look_ = loop_.runAfter(kLook, [this] { look(); });
+  openStream();
+  livenessTimer_ = loop_.runAfter(kLook, [this] { checkLiveness(); });
 }
 
-Watch::~Watch() {
-  for (const auto& stream : {older_, newer_}) {
-    if (stream) stream->leave();
+DiscoveryWatch::~DiscoveryWatch() {
+  for (const auto& stream : {active_, replacement_}) {
+    if (stream) stream->close();
   }
-  loop_.cancelTimer(retry_);
-  loop_.cancelTimer(look_);
+  loop_.cancelTimer(reopenTimer_);
+  loop_.cancelTimer(livenessTimer_);
 }
 
-void Watch::moveTo(const net::Endpoint& at) {
-  at_ = at;
-  pause_ = kRetryFirst;
-  replacing_ = true;
-  openBeside();
+void DiscoveryWatch::changeEndpoint(const net::Endpoint& at) {
+  endpoint_ = at;
+  backoff_ = kRetryFirst;
+  replacingActive_ = true;
+  openStream();
 }
 
-void Watch::askWhole() {
-  ++wholeAsked_;
-  askWhole_ = replacing_ = true;
-  openAfter(kRetryMost);
+void DiscoveryWatch::requestSnapshot() {
+  ++snapshotRequests_;
+  snapshotRequested_ = replacingActive_ = true;
+  openStreamAfter(kRetryMost);
 }
 
-void Watch::openAfter(Duration pause) {
-  if (retry_ != 0) return;
+void DiscoveryWatch::openStreamAfter(Duration pause) {
+  if (reopenTimer_ != 0) return;
   const Duration wait = pause * std::uniform_real_distribution<double>(0.5, 1)(random_);
-  retry_ = loop_.runAfter(wait, [this] {
-    retry_ = 0;
-    openBeside();
+  reopenTimer_ = loop_.runAfter(wait, [this] {
+    reopenTimer_ = 0;
+    openStream();
   });
 }
 
 // Opens one, beside the one that has been open for longest, if any.
-void Watch::openBeside() {
-  loop_.cancelTimer(std::exchange(retry_, 0));
-  if (newer_) newer_->leave();
-  newer_.reset();
-  ++opened_;
+void DiscoveryWatch::openStream() {
+  loop_.cancelTimer(std::exchange(reopenTimer_, 0));
+  if (replacement_) replacement_->close();
+  replacement_.reset();
+  ++watchesOpened_;
   const auto stream = std::make_shared<Stream>(*this);
-  (older_ ? newer_ : older_) = stream;
-  const std::uint64_t from = std::exchange(askWhole_, false) ? 0 : index_;
+  (active_ ? replacement_ : active_) = stream;
+  const std::uint64_t from = std::exchange(snapshotRequested_, false) ? 0 : resumeIndex_;
   std::string head = "GET /api/targets?watch=1&from=" + std::to_string(from) +
-                     " HTTP/1.1\r\nHost: " + at_.text() + "\r\n\r\n";
+                     " HTTP/1.1\r\nHost: " + endpoint_.text() + "\r\n\r\n";
   stream->call = client_.start(
-      at_, [head = std::move(head)] { return head; }, nullptr, stream);
+      endpoint_, [head = std::move(head)] { return head; }, nullptr, stream);
 }
 
 // Who speaks stays; the other has been silent for longer, and goes. One that is to be replaced goes on
 // speaking until the other does.
-void Watch::spoke(Stream& stream, const std::string* object) {
-  stream.heardAt = loop_.now();
-  if (note_ && std::exchange(silent_, false)) note_("discovery speaks again");
-  if (stream.heardAt - stream.openedAt > kLived) pause_ = kRetryFirst;
-  if (newer_ && newer_.get() == &stream) {
-    older_->leave();
-    older_ = std::exchange(newer_, nullptr);
-    replacing_ = false;
-  } else if (newer_ && !replacing_) {
-    std::exchange(newer_, nullptr)->leave();
+void DiscoveryWatch::onActivity(Stream& stream, const std::string* object) {
+  stream.lastActivityAt = loop_.now();
+  if (log_ && std::exchange(silenceLogged_, false)) log_("discovery speaks again");
+  if (stream.lastActivityAt - stream.openedAt > kLived) backoff_ = kRetryFirst;
+  if (replacement_ && replacement_.get() == &stream) {
+    active_->close();
+    active_ = std::exchange(replacement_, nullptr);
+    replacingActive_ = false;
+  } else if (replacement_ && !replacingActive_) {
+    std::exchange(replacement_, nullptr)->close();
   }
-  if (object != nullptr) told_(*object);
+  if (object != nullptr) onObject_(*object);
 }
 
-void Watch::ended(const std::shared_ptr<Stream>& stream) {
-  if (stream != older_ && stream != newer_) return;
-  stream->leave();
-  if (stream == older_) older_ = std::exchange(newer_, nullptr);
-  newer_.reset();
-  openAfter(pause_);
-  pause_ = std::min(kRetryMost, 2 * pause_);
+void DiscoveryWatch::onStreamEnded(const std::shared_ptr<Stream>& stream) {
+  if (stream != active_ && stream != replacement_) return;
+  stream->close();
+  if (stream == active_) active_ = std::exchange(replacement_, nullptr);
+  replacement_.reset();
+  openStreamAfter(backoff_);
+  backoff_ = std::min(kRetryMost, 2 * backoff_);
 }
 
-void Watch::look() {
-  look_ = loop_.runAfter(kLook, [this] { look(); });
-  if (retry_ != 0 || !older_) return;
+void DiscoveryWatch::checkLiveness() {
+  livenessTimer_ = loop_.runAfter(kLook, [this] { checkLiveness(); });
+  if (reopenTimer_ != 0 || !active_) return;
   const Instant now = loop_.now();
-  const bool silent = now - older_->heardAt > kSilent;
-  if (note_ && silent && !std::exchange(silent_, true))
-    note_("discovery is silent: a second watch is opened");
-  if (newer_ ? now - newer_->openedAt > kRenew : silent) openBeside();
+  const bool silent = now - active_->lastActivityAt > kSilent;
+  if (log_ && silent && !std::exchange(silenceLogged_, true))
+    log_("discovery is silent: a second watch is opened");
+  if (replacement_ ? now - replacement_->openedAt > kRenew : silent) openStream();
 }
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engine_table.h
+++ b/src/platform/engine_table.h
@@ -8,16 +8,17 @@
 
 namespace gannetcourse::platform {
 
-struct Engine {
+struct EngineRecord {
   net::Endpoint address;
-  Instant heardAt{};  // when anything last came from it
-  bool gone = false, draining = false;
-  bool stopped = false;  // it takes nothing new, and what waited for a connection to it has been ended
-  Instant goneAt{};
+  Instant lastHeardAt{};  // when anything last came from it
+  bool removed = false, draining = false;
+  bool unsentCallsCancelled =
+      false;  // it takes nothing new, and what waited for a connection to it has been ended
+  Instant removedAt{};
 
-  bool serves() const { return !gone && !draining; }
+  bool isServing() const { return !removed && !draining; }
 };
 
-using EngineTable = std::map<EngineId, Engine>;
+using EngineTable = std::map<EngineId, EngineRecord>;
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -63,19 +63,20 @@
 }
 
 // One attempt's answer: a read's 202, a stream, or a status that ends it.
-class Engines::Attempt final : public http1::ResponseHandler, public std::enable_shared_from_this<Attempt> {
+class EngineClient::Attempt final : public http1::ResponseHandler,
+                                    public std::enable_shared_from_this<Attempt> {
  public:
-  Attempt(Engines& owner, router::CallKey key, EngineId engine, bool reads)
+  Attempt(EngineClient& owner, router::CallKey key, EngineId engine, bool reads)
       : engine(engine), owner_(owner), key_(key), reads_(reads) {}
 
   void onHead(const http1::ResponseHead& head) override {
     heardAt = owner_.loop_.now();
-    owner_.heardFrom(engine);
+    owner_.recordActivity(engine);
     status_ = head.status;
     const std::string* const turnedAway = head.fields.find("X-Rejected");
     notRun_ = turnedAway != nullptr && *turnedAway == "1";
     const std::string* const report = head.fields.find("X-Load-Report");
-    if (report != nullptr) load_ = readLoadReport(*report);
+    if (report != nullptr) load_ = parseLoadReport(*report);
     streams_ = status_ == 200 && !reads_;
     const bool answers = streams_ || (reads_ && status_ == 202);
     if (!answers) endWithoutBody();
@@ -83,7 +84,7 @@
 
   void onBody(std::string_view bytes) override {
     heardAt = owner_.loop_.now();
-    owner_.heardFrom(engine);
+    owner_.recordActivity(engine);
     const std::shared_ptr<Attempt> self = shared_from_this();
     if (over) return;
     if (!streams_) {
@@ -91,11 +92,11 @@
       return;
     }
     bool whole = false;
-    const bool good = events_.take(bytes, [&](std::string event) {
+    const bool good = events_.feed(bytes, [&](std::string event) {
       whole = true;
       passOn(std::move(event));
     });
-    if (!events_.midway()) {
+    if (!events_.hasPartialEvent()) {
       eventSince_.reset();
     } else if (whole || !eventSince_) {
       eventSince_ = heardAt;
@@ -113,18 +114,18 @@
     if (how != http1::CallResult::kComplete) return finish(outcomeOf(how), why);
     if (streams_) {
       const bool whole = events_.finish([this](std::string event) {
-        if (events_.ended()) passOn(std::move(event));
+        if (events_.isComplete()) passOn(std::move(event));
       });
       if (over) return;
       return finish(whole ? Outcome::kOk : Outcome::kError,
-                    whole ? "tokens " + std::to_string(static_cast<std::uint64_t>(events_.writtenTokens()))
+                    whole ? "tokens " + std::to_string(static_cast<std::uint64_t>(events_.generatedTokens()))
                           : "its stream ended before its last event");
     }
     finishByStatus();
   }
 
   void passOn(std::string event) {
-    if (!over) owner_.sink_.onToken(key_, next_++, std::move(event));
+    if (!over) owner_.handler_.onToken(key_, next_++, std::move(event));
   }
 
   // Gives it up: its connection has no further use.
@@ -142,7 +143,7 @@
   bool broken(Instant now) const {
     if (paused || !streams()) return false;
     const Duration silent = now - heardAt;
-    return silent > (events_.ended() ? kEndWithin : kSilent) || eventOverdue(now);
+    return silent > (events_.isComplete() ? kEndWithin : kSilent) || eventOverdue(now);
   }
   bool eventOverdue(Instant now) const { return eventSince_ && now - *eventSince_ > kEventWithin; }
   void pause(bool pausedNow) {
@@ -183,74 +184,76 @@
   void finish(Outcome outcome, const std::string& why,
               recovery::AttemptEnd ending = recovery::AttemptEnd::kConfirmed) {
     over = true;
-    const std::optional<LoadReport> load = events_.load() ? events_.load() : load_;
-    owner_.ended(key_);
+    const std::optional<LoadReport> load = events_.loadReport() ? events_.loadReport() : load_;
+    owner_.removeAttempt(key_);
     if (outcome == Outcome::kPrefilled) {
       const Json reply = Json::parse(text_, nullptr, false);
       const bool told =
           reply.is_object() && reply.contains("cached_tokens") && reply["cached_tokens"].is_number();
-      return owner_.sink_.onPrefillEnded(key_, "", told ? reply["cached_tokens"].get<double>() : 0, load);
+      return owner_.handler_.onPrefillEnded(key_, "", told ? reply["cached_tokens"].get<double>() : 0, load);
     }
-    owner_.sink_.onCallEnded(key_, outcome, events_.keptTokens(), load, why, ending);
+    owner_.handler_.onCallEnded(key_, outcome, events_.cachedTokens(), load, why, ending);
   }
 
-  Engines& owner_;
+  EngineClient& owner_;
   router::CallKey key_;
   bool reads_, streams_ = false, notRun_ = false;
   int status_ = 0;
   std::uint32_t next_ = 0;
   std::string text_;
-  EventStream events_;
+  EventStreamDecoder events_;
   std::optional<Instant> eventSince_;  // since when an event is not whole
   std::optional<LoadReport> load_;
 };
 
-Engines::Engines(net::Loop& loop, const http1::ClientOptions& options, engines::EngineEventHandler& sink)
+EngineClient::EngineClient(net::Loop& loop, const http1::ClientOptions& options,
+                           engines::EngineEventHandler& sink)
     : loop_(loop),
       client_(loop, options),
-      sink_(sink),
-      releases_(loop, client_, engines_, [this](EngineId engine) { heardFrom(engine); }) {
+      handler_(sink),
+      releases_(loop, client_, engines_, [this](EngineId engine) { recordActivity(engine); }) {
   sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
-Engines::~Engines() {
+EngineClient::~EngineClient() {
   *alive_ = false;
   loop_.cancelTimer(sweepTimer_);
   for (auto& [key, attempt] : calls_) attempt->over = true;
 }
 
-void Engines::heardFrom(EngineId engine) {
+void EngineClient::recordActivity(EngineId engine) {
   const auto it = engines_.find(engine);
-  if (it != engines_.end()) it->second.heardAt = loop_.now();
+  if (it != engines_.end()) it->second.lastHeardAt = loop_.now();
 }
 
-void Engines::update(const ToldList& list) {
-  if (list.full) {
-    for (auto& [id, engine] : engines_) engine.gone = true;
+void EngineClient::applyEngineList(const EngineListMessage& list) {
+  if (list.isSnapshot) {
+    for (auto& [id, engine] : engines_) engine.removed = true;
   }
-  for (const ToldEngine& told : list.engines) take(told);
+  for (const EngineListMessageEntry& told : list.engines) take(told);
   const std::set<net::Endpoint> serving = servingAddresses();
   for (auto& [id, engine] : engines_) {
-    if (!engine.gone) engine.goneAt = {};
-    if (engine.serves()) {
-      engine.stopped = false;
+    if (!engine.removed) engine.removedAt = {};
+    if (engine.isServing()) {
+      engine.unsentCallsCancelled = false;
       continue;
     }
     const bool addressFree = serving.count(engine.address) == 0;  // no other engine has come up at it
     // What was decided before the word came, and has not left, does not go there any more.
-    if (!std::exchange(engine.stopped, true) && addressFree) client_.cancelUnsent(engine.address);
-    if (!engine.gone || engine.goneAt != Instant{}) continue;
-    engine.goneAt = loop_.now();
+    if (!std::exchange(engine.unsentCallsCancelled, true) && addressFree)
+      client_.cancelUnsent(engine.address);
+    if (!engine.removed || engine.removedAt != Instant{}) continue;
+    engine.removedAt = loop_.now();
     if (addressFree) client_.retireEndpoint(engine.address);
   }
 }
 
-void Engines::take(const ToldEngine& told) {
+void EngineClient::take(const EngineListMessageEntry& told) {
   const bool gone = told.entry.state == EngineEntry::State::kRemoved;
   const bool known = engines_.count(told.entry.id) > 0;
   if (gone && !known) return;
-  Engine& engine = engines_[told.entry.id];
-  engine.gone = gone;
+  EngineRecord& engine = engines_[told.entry.id];
+  engine.removed = gone;
   engine.draining = told.entry.state == EngineEntry::State::kDraining;
   if (gone || !told.address) return;
   if (known && engine.address != *told.address) client_.retireEndpoint(engine.address);
@@ -258,24 +261,24 @@
   client_.restoreEndpoint(engine.address);
 }
 
-std::set<net::Endpoint> Engines::servingAddresses() const {
+std::set<net::Endpoint> EngineClient::servingAddresses() const {
   std::set<net::Endpoint> addresses;
   for (const auto& [id, engine] : engines_) {
-    if (engine.serves()) addresses.insert(engine.address);
+    if (engine.isServing()) addresses.insert(engine.address);
   }
   return addresses;
 }
 
-void Engines::start(const router::StartPrefill& read) {
-  begin(read.call, read.engine, read.id, read.timeout, read.payload, true);
+void EngineClient::start(const router::StartPrefill& read) {
+  startAttempt(read.call, read.engine, read.id, read.timeout, read.payload, true);
 }
 
-void Engines::start(const router::StartDecode& write) {
-  begin(write.call, write.engine, write.id, write.timeout, write.payload, false);
+void EngineClient::start(const router::StartDecode& write) {
+  startAttempt(write.call, write.engine, write.id, write.timeout, write.payload, false);
 }
 
-void Engines::begin(router::CallKey call, EngineId engine, const std::string& id, Duration waits,
-                    const std::shared_ptr<const router::RequestPayload>& work, bool reads) {
+void EngineClient::startAttempt(router::CallKey call, EngineId engine, const std::string& id, Duration waits,
+                                const std::shared_ptr<const router::RequestPayload>& work, bool reads) {
   const auto attempt = std::make_shared<Attempt>(*this, call, engine, reads);
   attempt->heardAt = loop_.now();
   calls_[call] = attempt;
@@ -291,39 +294,39 @@
                                 std::shared_ptr<const std::string>(work, &work->prompt), attempt);
 }
 
-void Engines::cancelCall(router::CallKey call) {
+void EngineClient::cancelCall(router::CallKey call) {
   const auto node = calls_.extract(call);
   if (!node.empty()) node.mapped()->abandon();
 }
 
-void Engines::pauseStream(router::CallKey call, bool paused) {
+void EngineClient::pauseStream(router::CallKey call, bool paused) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return;
   it->second->pause(paused);
   client_.pauseReading(it->second->call, paused);
 }
 
-void Engines::probe(EngineId engine) {
+void EngineClient::probe(EngineId engine) {
   loop_.defer([this, alive = alive_, engine] {
-    if (*alive) sink_.onProbeEnded(engine, Outcome::kNotSent, Duration(0), {});
+    if (*alive) handler_.onProbeEnded(engine, Outcome::kNotSent, Duration(0), {});
   });
 }
 
-void Engines::reserve(const router::ReserveCapacity& seat) {
+void EngineClient::reserve(const router::ReserveCapacity& seat) {
   const auto it = engines_.find(seat.engine);
-  if (it == engines_.end()) return sink_.onReservationResult(seat.request, seat.engine, false);
-  const auto small = std::make_shared<StatusReply>(
+  if (it == engines_.end()) return handler_.onReservationResult(seat.request, seat.engine, false);
+  const auto small = std::make_shared<StatusResponseHandler>(
       [this, alive = alive_, key = seat.request, engine = seat.engine](int status) {
-        if (*alive) sink_.onReservationResult(key, engine, status == 200);
+        if (*alive) handler_.onReservationResult(key, engine, status == 200);
       });
   std::string head = headOf("POST", "/kv/leases/" + seat.id, it->second.address, "Content-Length: 0\r\n");
   client_.start(
       it->second.address, [head = std::move(head)] { return head; }, nullptr, small);
 }
 
-void Engines::releaseState(const router::ReleaseState& letGo) { releases_.begin(letGo.id); }
+void EngineClient::releaseState(const router::ReleaseState& letGo) { releases_.startRelease(letGo.id); }
 
-void Engines::sweep() {
+void EngineClient::sweep() {
   const Instant now = loop_.now();
   std::vector<std::shared_ptr<Attempt>> broken;
   for (const auto& [key, attempt] : calls_) {
@@ -336,7 +339,7 @@
                     unfinished ? "an event does not end" : "silent");
   }
   std::erase_if(engines_, [&](const auto& e) {
-    const bool old = e.second.gone && now - e.second.goneAt > kForgetGone &&
+    const bool old = e.second.removed && now - e.second.removedAt > kForgetGone &&
                      std::none_of(calls_.begin(), calls_.end(),
                                   [&](const auto& c) { return c.second->engine == e.first; });
     if (old) client_.restoreEndpoint(e.second.address);  // it may be another's by now
@@ -345,7 +348,7 @@
   sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
 }
 
-std::map<EngineId, std::size_t> Engines::openByEngine() const {
+std::map<EngineId, std::size_t> EngineClient::openCallsByEngine() const {
   std::map<EngineId, std::size_t> open;
   for (const auto& [key, attempt] : calls_) ++open[attempt->engine];
   return open;
--- a/src/platform/engines.h
+++ b/src/platform/engines.h
@@ -22,16 +22,16 @@
 Outcome outcomeOf(int status, bool notRun, bool reads);
 Outcome outcomeOf(http1::CallResult how);
 
-class Engines final : public engines::EngineTransport {
+class EngineClient final : public engines::EngineTransport {
  public:
-  Engines(net::Loop& loop, const http1::ClientOptions& options, engines::EngineEventHandler& sink);
-  ~Engines() override;
-  Engines(const Engines&) = delete;
-  Engines& operator=(const Engines&) = delete;
+  EngineClient(net::Loop& loop, const http1::ClientOptions& options, engines::EngineEventHandler& sink);
+  ~EngineClient() override;
+  EngineClient(const EngineClient&) = delete;
+  EngineClient& operator=(const EngineClient&) = delete;
 
-  void update(const ToldList& list);
+  void applyEngineList(const EngineListMessage& list);
   void take(const http1::ClientOptions& options) { client_.setOptions(options); }
-  void takePinLimit(Duration limit) { releases_.takePinLimit(limit); }
+  void setStateLeaseLimit(Duration limit) { releases_.setStateLeaseLimit(limit); }
 
   void start(const router::StartPrefill& read) override;
   void start(const router::StartDecode& write) override;
@@ -42,34 +42,34 @@
   void fenceAttempt(const router::FenceAttempt&) override {}
   void probe(EngineId engine) override;
   void pauseStream(router::CallKey call, bool paused) override;
-  std::size_t auxiliaryCalls() const override { return releases_.owed(); }
+  std::size_t auxiliaryCalls() const override { return releases_.awaitedByShutdown(); }
 
   // ---- For the node's account of itself ----
-  std::size_t known() const { return engines_.size(); }
-  std::size_t open() const { return calls_.size(); }
-  std::size_t connections() const { return client_.connectionCount(); }
-  std::size_t idleConnections() const { return client_.idleConnectionCount(); }
-  std::uint64_t opened() const { return client_.connectionsOpened(); }
-  std::uint64_t localFaults() const { return client_.localConnectFailures(); }
-  std::map<EngineId, std::size_t> openByEngine() const;
-  Releases& releases() { return releases_; }
-  const Releases& releases() const { return releases_; }
+  std::size_t knownEngineCount() const { return engines_.size(); }
+  std::size_t openCallCount() const { return calls_.size(); }
+  std::size_t connectionCount() const { return client_.connectionCount(); }
+  std::size_t idleConnectionCount() const { return client_.idleConnectionCount(); }
+  std::uint64_t connectionsOpened() const { return client_.connectionsOpened(); }
+  std::uint64_t localConnectFailures() const { return client_.localConnectFailures(); }
+  std::map<EngineId, std::size_t> openCallsByEngine() const;
+  ReleaseDispatcher& releases() { return releases_; }
+  const ReleaseDispatcher& releases() const { return releases_; }
 
  private:
   class Attempt;
-  void take(const ToldEngine& told);
+  void take(const EngineListMessageEntry& told);
   std::set<net::Endpoint> servingAddresses() const;
-  void begin(router::CallKey call, EngineId engine, const std::string& id, Duration waits,
-             const std::shared_ptr<const router::RequestPayload>& work, bool reads);
-  void ended(router::CallKey call) { calls_.erase(call); }
-  void heardFrom(EngineId engine);
+  void startAttempt(router::CallKey call, EngineId engine, const std::string& id, Duration waits,
+                    const std::shared_ptr<const router::RequestPayload>& work, bool reads);
+  void removeAttempt(router::CallKey call) { calls_.erase(call); }
+  void recordActivity(EngineId engine);
   void sweep();
 
   net::Loop& loop_;
   http1::Client client_;
-  engines::EngineEventHandler& sink_;
+  engines::EngineEventHandler& handler_;
   EngineTable engines_;
-  Releases releases_;
+  ReleaseDispatcher releases_;
   std::unordered_map<router::CallKey, std::shared_ptr<Attempt>> calls_;
   net::TimerId sweepTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/platform/events.cpp
+++ b/src/platform/events.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-std::optional<LoadReport> readLoadReport(std::string_view text) {
+std::optional<LoadReport> parseLoadReport(std::string_view text) {
   text = trimmed(text);
   constexpr std::string_view kForm = "TEXT ";
   if (text.substr(0, kForm.size()) != kForm) return std::nullopt;
@@ -62,29 +62,31 @@
     const bool whole = fault == std::errc() && end == digits.data() + digits.size() && !digits.empty();
     if (!whole || !std::isfinite(value) || value < 0) return std::nullopt;
     const std::string_view name = trimmed(pair.substr(0, equals));
-    instance::take(load, std::string(name.substr(name.rfind('.') + 1)), value);
+    instance::setLoadMetric(load, std::string(name.substr(name.rfind('.') + 1)), value);
   }
   return load;
 }
 
-bool EventStream::take(std::string_view bytes, const std::function<void(std::string event)>& tell) {
-  rest_.append(bytes);
+bool EventStreamDecoder::feed(std::string_view bytes, const std::function<void(std::string event)>& tell) {
+  partialEvent_.append(bytes);
   std::size_t from = 0;
   for (;;) {
-    const std::size_t end = eventEnd(rest_, from);
+    const std::size_t end = eventEnd(partialEvent_, from);
     if (end == std::string_view::npos) break;
-    if (!takeEvent(std::string_view(rest_).substr(from, end - from), tell)) return false;
+    if (!decodeEvent(std::string_view(partialEvent_).substr(from, end - from), tell)) return false;
     from = end;
   }
-  rest_.erase(0, from);
+  partialEvent_.erase(0, from);
   // What has begun must already look like an event.
-  const std::size_t told = std::min(rest_.size(), kData.size());
-  const bool begins = rest_.empty() || rest_[0] == ':' || rest_[0] == '\n' || rest_[0] == '\r' ||
-                      std::string_view(rest_).substr(0, told) == kData.substr(0, told);
-  return begins && rest_.size() <= kMostEvent;
+  const std::size_t told = std::min(partialEvent_.size(), kData.size());
+  const bool begins = partialEvent_.empty() || partialEvent_[0] == ':' || partialEvent_[0] == '\n' ||
+                      partialEvent_[0] == '\r' ||
+                      std::string_view(partialEvent_).substr(0, told) == kData.substr(0, told);
+  return begins && partialEvent_.size() <= kMostEvent;
 }
 
-bool EventStream::takeEvent(std::string_view event, const std::function<void(std::string event)>& tell) {
+bool EventStreamDecoder::decodeEvent(std::string_view event,
+                                     const std::function<void(std::string event)>& tell) {
   std::string told;
   bool data = false;
   while (!event.empty()) {
@@ -93,7 +95,7 @@
     const std::string_view line = trimmed(raw.substr(0, end));
     event.remove_prefix(raw.size());
     if (!line.empty() && line[0] == ':') {
-      takeComment(trimmed(line.substr(1)));
+      readComment(trimmed(line.substr(1)));
       continue;
     }
     told.append(raw);
@@ -101,26 +103,28 @@
     if (line.substr(0, kData.size()) != kData) return false;
     data = true;
     const std::string_view value = trimmed(line.substr(kData.size()));
-    if (value == kEnd) ended_ = true;
-    if (value.find("\"usage\"") != std::string_view::npos) takeUsage(value);
+    if (value == kEnd) complete_ = true;
+    if (value.find("\"usage\"") != std::string_view::npos) readUsage(value);
   }
   if (data) tell(std::move(told));
   return true;
 }
 
-void EventStream::takeUsage(std::string_view data) {
+void EventStreamDecoder::readUsage(std::string_view data) {
   const instance::Json event = instance::Json::parse(data, nullptr, false);
-  kept_ = std::max(kept_, numberAt(event, {"usage", "prompt_tokens_details", "cached_tokens"}));
-  written_ = std::max(written_, numberAt(event, {"usage", "completion_tokens"}));
+  cachedTokens_ =
+      std::max(cachedTokens_, numberAt(event, {"usage", "prompt_tokens_details", "cached_tokens"}));
+  generatedTokens_ = std::max(generatedTokens_, numberAt(event, {"usage", "completion_tokens"}));
 }
 
-void EventStream::takeComment(std::string_view comment) {
-  if (comment.substr(0, kReport.size()) == kReport) load_ = readLoadReport(comment.substr(kReport.size()));
+void EventStreamDecoder::readComment(std::string_view comment) {
+  if (comment.substr(0, kReport.size()) == kReport)
+    loadReport_ = parseLoadReport(comment.substr(kReport.size()));
 }
 
-bool EventStream::finish(const std::function<void(std::string event)>& tell) {
-  const std::string rest = std::exchange(rest_, {});
-  return takeEvent(rest, tell) && ended_;
+bool EventStreamDecoder::finish(const std::function<void(std::string event)>& tell) {
+  const std::string rest = std::exchange(partialEvent_, {});
+  return decodeEvent(rest, tell) && complete_;
 }
 
 }  // namespace gannetcourse::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -44,7 +44,7 @@
         pair.substr(pair.find_first_not_of(' '), equals - pair.find_first_not_of(' '));
     const std::string_view value = pair.substr(equals + 1);
     if (name == "prefix") {
-      const auto key = instance::hexKey(std::string(value));
+      const auto key = instance::parseHexKey(std::string(value));
       if (!key) return false;
       arrival.prefixKey = *key;
       continue;
@@ -107,38 +107,40 @@
 
 }  // namespace
 
-std::variant<router::NewRequest, Fault> readArrival(http1::Request& request, const instance::Names& names) {
+std::variant<router::NewRequest, RequestError> parseChatRequest(http1::Request& request,
+                                                                const instance::InstanceNames& names) {
   const http1::Fields& fields = request.fields;
   for (const char* const once : {"X-Call-Id", "X-Call-Class", "X-Route-Hash", "X-Budget-Ms", "X-Call-Info"}) {
-    if (fields.count(once) > 1) return Fault{400, std::string(once) + " comes more than once"};
+    if (fields.count(once) > 1) return RequestError{400, std::string(once) + " comes more than once"};
   }
   router::NewRequest arrival;
   auto work = std::make_shared<router::RequestPayload>();
   arrival.id = valueOf(fields, "X-Call-Id");
-  if (!isId(arrival.id)) return Fault{400, "X-Call-Id is missing or no id"};
+  if (!isId(arrival.id)) return RequestError{400, "X-Call-Id is missing or no id"};
   work->requestClass = valueOf(fields, "X-Call-Class");
-  const auto classIndex = instance::position(names.classes, work->requestClass);
-  if (!classIndex) return Fault{400, "X-Call-Class is missing or unknown"};
+  const auto classIndex = instance::indexOf(names.classes, work->requestClass);
+  if (!classIndex) return RequestError{400, "X-Call-Class is missing or unknown"};
   arrival.classIndex = *classIndex;
   const std::string& tenant = valueOf(fields, "X-Caller");
-  if (!tenant.empty()) arrival.tenant = instance::position(names.tenants, tenant);
+  if (!tenant.empty()) arrival.tenant = instance::indexOf(names.tenants, tenant);
   work->tenant = tenant;
   const auto budget = numberIn(valueOf(fields, "X-Budget-Ms"), kMostBudgetMs);
-  if (!budget || *budget == 0) return Fault{400, "X-Budget-Ms is missing or no number of milliseconds"};
+  if (!budget || *budget == 0)
+    return RequestError{400, "X-Budget-Ms is missing or no number of milliseconds"};
   arrival.timeUntilDeadline = Duration(static_cast<double>(*budget) / 1000);
   arrival.deadlineEndsAtFirstToken = true;
   const std::string& session = valueOf(fields, "X-Route-Hash");
-  const auto key = instance::hexKey(session);
-  if (!session.empty() && !key) return Fault{400, "X-Route-Hash is no key of hex digits"};
+  const auto key = instance::parseHexKey(session);
+  if (!session.empty() && !key) return RequestError{400, "X-Route-Hash is no key of hex digits"};
   arrival.sessionKey = key.value_or(0);
   arrival.isRetry = !valueOf(fields, "X-Again").empty();
   const std::string& hint = valueOf(fields, "X-Call-Cost");
   const auto cost = numberIn(hint, UINT64_MAX);
   if (cost && *cost > 0) arrival.expectedOutputDuration = Duration(static_cast<double>(*cost) * 1e-6);
   if (!readInfo(valueOf(fields, "X-Call-Info"), arrival, *work))
-    return Fault{400, "X-Call-Info cannot be read"};
+    return RequestError{400, "X-Call-Info cannot be read"};
   if (request.body.empty() || request.body.front() != '{' || !Json::accept(request.body))
-    return Fault{400, "the body is no JSON object"};
+    return RequestError{400, "the body is no JSON object"};
   if (work->promptTokens == 0) work->promptTokens = static_cast<std::uint32_t>(request.body.size() / 4);
   work->headerFields = passedOn(fields);
   work->target = std::move(request.target);
@@ -148,24 +150,24 @@
 }
 
 // A request that the core has. The head goes out with the first event.
-class Front::Client final : public frontend::ClientStream {
+class Frontend::OpenRequest final : public frontend::ClientStream {
  public:
-  Client(Front& front, std::shared_ptr<http1::Exchange> exchange, std::string id, std::uint64_t bytes)
-      : front_(front), exchange_(std::move(exchange)), id_(std::move(id)), bytes_(bytes) {
-    front_.ids_.insert(id_);
-    front_.held_ += bytes_;
+  OpenRequest(Frontend& front, std::shared_ptr<http1::Exchange> exchange, std::string id, std::uint64_t bytes)
+      : frontend_(front), exchange_(std::move(exchange)), id_(std::move(id)), bytes_(bytes) {
+    frontend_.openRequestIds_.insert(id_);
+    frontend_.bufferedBytes_ += bytes_;
   }
-  ~Client() override { leave(); }
+  ~OpenRequest() override { close(); }
 
   void sendToken(const router::SendToken& event) override {
-    if (!std::exchange(begun_, true)) exchange_->beginStream(kEvents);
+    if (!std::exchange(streamBegun_, true)) exchange_->beginStream(kEvents);
     exchange_->sendChunk(event.text);
   }
 
   void sendFinalResponse(const router::FinalResponse& answer) override {
-    leave();
+    close();
     exchange_->onClientDisconnected = nullptr;
-    if (begun_) {
+    if (streamBegun_) {
       answer.status == router::FinalStatus::kServed ? exchange_->endStream() : exchange_->abortStream();
     } else if (answer.status == router::FinalStatus::kRejected) {
       exchange_->respond(503, retryAfterLine(answer.retryAfter), answer.reason + "\n");
@@ -176,81 +178,83 @@
   }
 
  private:
-  void leave() {
-    if (std::exchange(left_, true)) return;
-    front_.ids_.erase(id_);
-    front_.held_ -= bytes_;
+  void close() {
+    if (std::exchange(closed_, true)) return;
+    frontend_.openRequestIds_.erase(id_);
+    frontend_.bufferedBytes_ -= bytes_;
   }
 
-  Front& front_;
+  Frontend& frontend_;
   std::shared_ptr<http1::Exchange> exchange_;
   std::string id_;
   std::uint64_t bytes_;
-  bool begun_ = false, left_ = false;
+  bool streamBegun_ = false, closed_ = false;
 };
 
 namespace {
 
 http1::ServerOptions serverOptions(const Configuration& configuration) {
-  const Bounds bounds = boundsOf(configuration);
+  const NodeLimits bounds = limitsOf(configuration);
   http1::ServerOptions options;
-  options.maxConnections = bounds.clientConnections;
-  options.maxBufferedRequestBytes = bounds.heldBytes / 2;
+  options.maxConnections = bounds.maxClientConnections;
+  options.maxBufferedRequestBytes = bounds.maxBufferedBytes / 2;
   return options;
 }
 
 }  // namespace
 
-Front::Front(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver)
+Frontend::Frontend(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver)
     : driver_(driver),
-      server_(loop, configuration.listen, serverOptions(configuration),
+      server_(loop, configuration.listenEndpoint, serverOptions(configuration),
               [this](const std::shared_ptr<http1::Exchange>& exchange) { handle(exchange); }) {
-  take(configuration);
+  applyConfiguration(configuration);
 }
 
-void Front::take(const Configuration& configuration) {
+void Frontend::applyConfiguration(const Configuration& configuration) {
   names_ = configuration.names;
-  bounds_ = boundsOf(configuration);
-  retryAfter_ =
-      configuration.policy.clientsHonorRetryAfter ? configuration.policy.maxRetryAfter : Duration(0);
+  limits_ = limitsOf(configuration);
+  retryAfter_ = configuration.policySettings.clientsHonorRetryAfter
+                    ? configuration.policySettings.maxRetryAfter
+                    : Duration(0);
   server_.setOptions(serverOptions(configuration));
 }
 
-void Front::drain() {
+void Frontend::drain() {
   draining_ = true;
   server_.drain();
 }
 
-void Front::turnAway(http1::Exchange& exchange, const Fault& fault) {
-  ++turnedAway_;
+void Frontend::reject(http1::Exchange& exchange, const RequestError& fault) {
+  ++rejectedMalformed_;
   const std::string line = fault.status == 503 ? retryAfterLine(retryAfter_) : "";
-  exchange.respond(fault.status, line, fault.why + "\n", true);
+  exchange.respond(fault.status, line, fault.reason + "\n", true);
 }
 
-void Front::handle(const std::shared_ptr<http1::Exchange>& exchange) {
+void Frontend::handle(const std::shared_ptr<http1::Exchange>& exchange) {
   const http1::Request& request = exchange->request;
   const std::string path = request.target.substr(0, request.target.find('?'));
   const bool serves = ready_ && !draining_;
   if (path == kChat) {
-    if (request.method != "POST") return turnAway(*exchange, {405, "only POST is served here"});
+    if (request.method != "POST") return reject(*exchange, {405, "only POST is served here"});
     return handleChat(exchange);
   }
   if (path == "/-/ready")
     return exchange->respond(serves ? 200 : 503, "", serves ? "ready\n" : "not ready\n");
   if (path == "/-/healthy") return exchange->respond(200, "", "healthy\n");
-  turnAway(*exchange, {404, "nothing is served at this path"});
+  reject(*exchange, {404, "nothing is served at this path"});
 }
 
-void Front::handleChat(const std::shared_ptr<http1::Exchange>& exchange) {
-  auto read = readArrival(exchange->request, names_);
-  if (const Fault* const fault = std::get_if<Fault>(&read)) return turnAway(*exchange, *fault);
+void Frontend::handleChat(const std::shared_ptr<http1::Exchange>& exchange) {
+  auto read = parseChatRequest(exchange->request, names_);
+  if (const RequestError* const fault = std::get_if<RequestError>(&read)) return reject(*exchange, *fault);
   router::NewRequest& arrival = std::get<router::NewRequest>(read);
-  if (ids_.count(arrival.id) > 0) return turnAway(*exchange, {409, "X-Call-Id is that of an open request"});
+  if (openRequestIds_.count(arrival.id) > 0)
+    return reject(*exchange, {409, "X-Call-Id is that of an open request"});
   const std::uint64_t bytes = arrival.payload->prompt.size() + arrival.payload->headerFields.size();
-  if (ids_.size() >= bounds_.openRequests || held_ + bytes > bounds_.heldBytes)
-    return turnAway(*exchange, {503, "the node has all that it can hold"});
+  if (openRequestIds_.size() >= limits_.maxOpenRequests || bufferedBytes_ + bytes > limits_.maxBufferedBytes)
+    return reject(*exchange, {503, "the node has all that it can hold"});
   const router::RequestKey key = arrival.key = driver_.nextRequestKey();
-  auto client = std::make_shared<Client>(*this, exchange, arrival.id, bytes);
+  auto client = std::make_shared<OpenRequest>(*this, exchange, arrival.id, bytes);
   exchange->onClientDisconnected = [this, key] { driver_.onClientDisconnected(key); };
   exchange->onBackpressure = [this, key](bool paused) { driver_.pauseRequest(key, paused); };
   driver_.openRequest(key, std::move(arrival), std::move(client));
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -21,9 +21,9 @@
 
 http1::ClientOptions clientOptions(const Configuration& c) {
   http1::ClientOptions options;
-  options.maxConnections = boundsOf(c).engineConnections;
-  options.connectTimeout = c.connectTimeout;
-  options.idleTimeout = c.connIdle / 2;
+  options.maxConnections = limitsOf(c).maxEngineConnections;
+  options.connectTimeout = c.engineConnectTimeout;
+  options.idleTimeout = c.engineIdleTimeout / 2;
   return options;
 }
 
@@ -49,27 +49,28 @@
       configuration_(std::move(configuration)),
       log_(std::move(log)),
       clock_(loop.now(), net::unixMillis()),
-      driver_(loop, configuration_.policy, coreOptions(configuration_, record != nullptr),
+      driver_(loop, configuration_.policySettings, coreOptions(configuration_, record != nullptr),
               driverHooks(record)),
-      engines_(loop, clientOptions(configuration_), driver_),
-      front_(loop, configuration_, driver_) {
-  driver_.attach(engines_);
-  engines_.takePinLimit(configuration_.policy.stateLeaseLimit);
-  engines_.releases().logTo(
+      engineClient_(loop, clientOptions(configuration_), driver_),
+      frontend_(loop, configuration_, driver_) {
+  driver_.attach(engineClient_);
+  engineClient_.setStateLeaseLimit(configuration_.policySettings.stateLeaseLimit);
+  engineClient_.releases().setLog(
       [this](const std::string& level, const std::string& text) { log_("engines", level, text); });
-  takeList(configuration_.known.is_object() ? configuration_.known : Json::object(), true);
-  readyTimer_ = loop_.runAfter(engines_.known() > 0 ? kFirstWord : kNoListWithin,
+  applyEngineList(
+      configuration_.knownEngineList.is_object() ? configuration_.knownEngineList : Json::object(), true);
+  readyTimer_ = loop_.runAfter(engineClient_.knownEngineCount() > 0 ? kFirstWord : kNoListWithin,
                                [this] { becomeReady("without a word of discovery"); });
-  watch_ = std::make_unique<Watch>(
-      loop_, configuration_.discovery, version_.held(), configuration_.policy.seed,
-      [this](const std::string& object) { takeObject(object); },
+  watch_ = std::make_unique<DiscoveryWatch>(
+      loop_, configuration_.discoveryEndpoint, listVersion_.latestIndex(), configuration_.policySettings.seed,
+      [this](const std::string& object) { onDiscoveryObject(object); },
       [this](const std::string& text) { log_("discovery", "info", text); });
-  report();
+  logStatistics();
 }
 
 Node::~Node() {
   driver_.stop();
-  loop_.cancelTimer(reportTimer_);
+  loop_.cancelTimer(statisticsTimer_);
   loop_.cancelTimer(readyTimer_);
 }
 
@@ -87,28 +88,29 @@
   log_("router", "error", "violation: " + record.reason + " by request " + record.request);
 }
 
-void Node::takeObject(const std::string& text) {
+void Node::onDiscoveryObject(const std::string& text) {
   const Json object = Json::parse(text, nullptr, false);
-  if (object.is_discarded()) return missed("an object of the watch is no JSON");
-  takeList(object, false);
+  if (object.is_discarded()) return watchMissed("an object of the watch is no JSON");
+  applyEngineList(object, false);
 }
 
 // What could not be read may have told of a drain: the whole list is asked for.
-void Node::missed(const char* why) {
+void Node::watchMissed(const char* why) {
   log_("discovery", "warn", why);
-  if (watch_) watch_->askWhole();
+  if (watch_) watch_->requestSnapshot();
 }
 
-void Node::takeList(const Json& object, bool saved) {
-  auto list = readTargets(object, configuration_.names, clock_);
-  if (!list) missed(saved ? "the known list cannot be read" : "an object of the watch cannot be read");
+void Node::applyEngineList(const Json& object, bool saved) {
+  auto list = parseEngineListMessage(object, configuration_.names, clock_);
+  if (!list) watchMissed(saved ? "the known list cannot be read" : "an object of the watch cannot be read");
   if (!list && !saved) return;
   if (!list) list.emplace();  // the core has to hear a first list, be it an empty one
-  if (version_.look(list->index, list->full || saved, loop_.now()) == ListVersion::Verdict::kAskWhole)
-    return watch_->askWhole();
-  if (watch_) watch_->reached(list->index);
-  engines_.update(*list);
-  EngineListUpdate told = list->forPolicy();
+  if (listVersion_.classify(list->index, list->isSnapshot || saved, loop_.now()) ==
+      EngineListVersion::Decision::kResync)
+    return watch_->requestSnapshot();
+  if (watch_) watch_->setResumeIndex(list->index);
+  engineClient_.applyEngineList(*list);
+  EngineListUpdate told = list->toUpdate();
   if (saved) told.scope = EngineListUpdate::Scope::kCached;
   driver_.step([&](router::Core& core, Instant now) { core.onEngineListUpdate(now, told); });
   if (!saved) becomeReady("with discovery's list");
@@ -116,49 +118,51 @@
 
 void Node::becomeReady(const char* how) {
   if (std::exchange(ready_, true)) return;
-  log_("node", "info", std::string("ready ") + how + ", engines known: " + std::to_string(engines_.known()));
-  front_.ready(true);
+  log_("node", "info",
+       std::string("ready ") + how + ", engines known: " + std::to_string(engineClient_.knownEngineCount()));
+  frontend_.setReady(true);
 }
 
 void Node::reload(Configuration fresh) {
   fresh.name = configuration_.name;
-  fresh.listen = configuration_.listen;
-  const instance::Names &was = configuration_.names, &is = fresh.names;
+  fresh.listenEndpoint = configuration_.listenEndpoint;
+  const instance::InstanceNames &was = configuration_.names, &is = fresh.names;
   for (const auto& [before, after] :
        {std::pair(&was.classes, &is.classes), std::pair(&was.tenants, &is.tenants),
         std::pair(&was.zones, &is.zones)}) {
     if (!keepsPlaces(*before, *after))
       throw std::invalid_argument("rule 2 (no effect twice): a class, tenant or zone lost its place");
   }
-  driver_.step([&](router::Core& core, Instant now) { core.reconfigure(now, fresh.policy); });
-  const bool moved = fresh.discovery != configuration_.discovery;
+  driver_.step([&](router::Core& core, Instant now) { core.reconfigure(now, fresh.policySettings); });
+  const bool moved = fresh.discoveryEndpoint != configuration_.discoveryEndpoint;
   configuration_ = std::move(fresh);
-  engines_.take(clientOptions(configuration_));
-  engines_.takePinLimit(configuration_.policy.stateLeaseLimit);
-  front_.take(configuration_);
-  if (moved) watch_->moveTo(configuration_.discovery);
+  engineClient_.take(clientOptions(configuration_));
+  engineClient_.setStateLeaseLimit(configuration_.policySettings.stateLeaseLimit);
+  frontend_.applyConfiguration(configuration_);
+  if (moved) watch_->changeEndpoint(configuration_.discoveryEndpoint);
 }
 
 void Node::drain(std::function<void()> done) {
-  if (drained_) return;
-  drained_ = std::move(done);
-  drainAt_ = loop_.now();
+  if (onDrained_) return;
+  onDrained_ = std::move(done);
+  drainStartedAt_ = loop_.now();
   driver_.step([](router::Core& core, Instant now) { core.drain(now); });
-  front_.drain();
+  frontend_.drain();
 }
 
 void Node::checkDrained() {
-  if (!drained_ || loop_.now() - drainAt_ < kLinger) return;
-  if (core().pendingObligations() > 0 || engines_.auxiliaryCalls() > 0 || front_.server().busyCount() > 0)
+  if (!onDrained_ || loop_.now() - drainStartedAt_ < kLinger) return;
+  if (core().pendingObligations() > 0 || engineClient_.auxiliaryCalls() > 0 ||
+      frontend_.server().busyCount() > 0)
     return;
   if (listening_) log_("node", "info", "nothing is owed: the listener closes");
-  if (!std::exchange(listening_, false)) return loop_.defer(std::exchange(drained_, nullptr));
-  front_.end();
+  if (!std::exchange(listening_, false)) return loop_.defer(std::exchange(onDrained_, nullptr));
+  frontend_.shutdown();
 }
 
-std::string Node::account() const {
+std::string Node::statisticsLine() const {
   const router::Counters& c = core().counters();
-  const http1::ServerCounters& clients = front_.server().counters();
+  const http1::ServerCounters& clients = frontend_.server().counters();
   std::string text;
   const auto add = [&text](const char* name, std::uint64_t value) {
     text += std::string(text.empty() ? "" : " ") + name + "=" + std::to_string(value);
@@ -169,40 +173,40 @@
   add("failed", c.failed);
   add("deadline", c.deadlineExceeded);
   add("gone", c.clientsDisconnected);
-  add("turned_away", front_.turnedAway());
+  add("turned_away", frontend_.rejectedMalformed());
   add("attempts", c.attempts);
   add("guarded", c.actionsBlocked);
   text += " violations=" + router::textOf(core().violations());
   add("open", core().openRequests());
-  add("calls_open", engines_.open());
-  const Releases::Counts& releases = engines_.releases().counts();
-  add("releases_open", engines_.releases().pending());
-  add("releases", releases.begun);
-  add("releases_taken", releases.taken);
-  add("releases_given_up", releases.givenUp);
-  add("release_asks", releases.asks);
-  add("slowest_release_ms", static_cast<std::uint64_t>(releases.slowest.count() * 1000));
-  add("client_connections", front_.server().connectionCount());
-  add("engine_connections", engines_.connections());
-  add("engine_connections_opened", engines_.opened());
+  add("calls_open", engineClient_.openCallCount());
+  const ReleaseDispatcher::Counters& releases = engineClient_.releases().counters();
+  add("releases_open", engineClient_.releases().pending());
+  add("releases", releases.started);
+  add("releases_taken", releases.confirmed);
+  add("releases_given_up", releases.abandoned);
+  add("release_asks", releases.calls);
+  add("slowest_release_ms", static_cast<std::uint64_t>(releases.slowestConfirmation.count() * 1000));
+  add("client_connections", frontend_.server().connectionCount());
+  add("engine_connections", engineClient_.connectionCount());
+  add("engine_connections_opened", engineClient_.connectionsOpened());
   add("accepted", clients.accepted);
   add("evicted", clients.evicted);
   add("shut_at_bound", clients.closedAtLimit);
   add("rejected", clients.rejected);
   add("timed_out", clients.timedOut);
   add("abandoned", clients.abandoned);
-  add("failed_accepts", front_.server().failedAccepts());
+  add("failed_accepts", frontend_.server().failedAccepts());
   add("failed_watches", loop_.failedWatches());
-  add("local_faults", engines_.localFaults());
+  add("local_faults", engineClient_.localConnectFailures());
   add("list_index", listIndex());
-  add("discovery_watches", watch_ ? watch_->opened() : 0);
-  add("whole_lists_asked", watch_ ? watch_->wholeAsked() : 0);
+  add("discovery_watches", watch_ ? watch_->watchesOpened() : 0);
+  add("whole_lists_asked", watch_ ? watch_->snapshotRequests() : 0);
   return text;
 }
 
-void Node::report() {
-  log_("node", "info", account());
-  reportTimer_ = loop_.runAfter(kReport, [this] { report(); });
+void Node::logStatistics() {
+  log_("node", "info", statisticsLine());
+  statisticsTimer_ = loop_.runAfter(kReport, [this] { logStatistics(); });
 }
 
 }  // namespace gannetcourse::platform
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -33,37 +33,37 @@
   // every connection that a client may still ask on has been ended.
   void drain(std::function<void()> done);
 
-  std::uint16_t port() const { return front_.port(); }
+  std::uint16_t port() const { return frontend_.port(); }
   const router::Core& core() const { return driver_.core(); }
-  const Engines& engines() const { return engines_; }
-  const Front& front() const { return front_; }
-  std::uint64_t listIndex() const { return version_.held(); }  // of the newest list of engines
+  const EngineClient& engineClient() const { return engineClient_; }
+  const Frontend& frontend() const { return frontend_; }
+  std::uint64_t listIndex() const { return listVersion_.latestIndex(); }  // of the newest list of engines
   // One line of what is open on the sockets and what the core has of it, for the log.
-  std::string account() const;
+  std::string statisticsLine() const;
 
  private:
   void logViolation(const router::Record& record);
-  void takeObject(const std::string& text);
-  void takeList(const instance::Json& object, bool saved);
-  void missed(const char* why);
+  void onDiscoveryObject(const std::string& text);
+  void applyEngineList(const instance::Json& object, bool saved);
+  void watchMissed(const char* why);
   void becomeReady(const char* how);
   node::CoreDriver::Hooks driverHooks(const std::function<void(const router::Record&)>& record);
   void checkDrained();
-  void report();
+  void logStatistics();
 
   net::Loop& loop_;
   Configuration configuration_;
   Log log_;
   net::WallClock clock_;
   node::CoreDriver driver_;
-  Engines engines_;
-  Front front_;
-  ListVersion version_;
-  std::unique_ptr<Watch> watch_;
+  EngineClient engineClient_;
+  Frontend frontend_;
+  EngineListVersion listVersion_;
+  std::unique_ptr<DiscoveryWatch> watch_;
   bool listening_ = true, ready_ = false;
-  std::function<void()> drained_;
-  Instant drainAt_{};
-  net::TimerId reportTimer_ = 0, readyTimer_ = 0;
+  std::function<void()> onDrained_;
+  Instant drainStartedAt_{};
+  net::TimerId statisticsTimer_ = 0, readyTimer_ = 0;
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/releases.h
+++ b/src/platform/releases.h
@@ -19,90 +19,91 @@
 
 namespace gannetcourse::platform {
 
-class Releases {
+class ReleaseDispatcher {
  public:
-  struct Counts {
-    std::uint64_t begun = 0, taken = 0, givenUp = 0;
-    std::uint64_t asks = 0;  // calls that they took
-    Duration slowest{0};     // from the decision until an engine had taken it
+  struct Counters {
+    std::uint64_t started = 0, confirmed = 0, abandoned = 0;
+    std::uint64_t calls = 0;          // calls that they took
+    Duration slowestConfirmation{0};  // from the decision until an engine had taken it
   };
   using Log = std::function<void(const std::string& level, const std::string& text)>;
-  static constexpr std::size_t kMostPending = 4096;  // past it the oldest is given up
-  static constexpr std::size_t kMostAsks = 64;       // calls that may be out at once
+  static constexpr std::size_t kMaxPending = 4096;      // past it the oldest is given up
+  static constexpr std::size_t kMaxCallsInFlight = 64;  // calls that may be out at once
 
   // The table's engines may change between calls; `heardFrom` is told of each engine that answers.
-  Releases(net::Loop& loop, http1::Client& client, const EngineTable& engines,
-           std::function<void(EngineId)> heardFrom);
-  ~Releases();
-  Releases(const Releases&) = delete;
-  Releases& operator=(const Releases&) = delete;
+  ReleaseDispatcher(net::Loop& loop, http1::Client& client, const EngineTable& engines,
+                    std::function<void(EngineId)> heardFrom);
+  ~ReleaseDispatcher();
+  ReleaseDispatcher(const ReleaseDispatcher&) = delete;
+  ReleaseDispatcher& operator=(const ReleaseDispatcher&) = delete;
 
   // For how long a state may stay held: other engines are asked well before that. 0 = no limit.
-  void takePinLimit(Duration limit);
-  void logTo(Log log) { log_ = std::move(log); }
+  void setStateLeaseLimit(Duration limit);
+  void setLog(Log log) { log_ = std::move(log); }
 
   // One that is still pending goes on, until a call that was sent after this one is answered.
-  void begin(const std::string& id);
+  void startRelease(const std::string& id);
 
   std::size_t pending() const { return pending_.size(); }
   // Those that the end of the process has to wait for: where no engine answers for seconds it does not.
-  std::size_t owed() const;
-  const Counts& counts() const { return counts_; }
+  std::size_t awaitedByShutdown() const;
+  const Counters& counters() const { return counters_; }
 
  private:
-  struct Release {
+  struct PendingRelease {
     std::string id;
-    Instant begunAt, askedAt;
-    Instant wantedAt;          // the newest begin(): a call that was sent before it may have come too early
-    std::set<EngineId> asked;  // in this round
-    std::size_t width = 1;     // engines that the next step asks
+    Instant startedAt, lastCallAt;
+    Instant requestedAt;  // the newest begin(): a call that was sent before it may have come too early
+    std::set<EngineId> enginesCalled;  // in this round
+    std::size_t fanOut = 1;            // engines that the next step asks
     bool done = false;
   };
-  struct Ask {
-    std::shared_ptr<Release> release;
+  struct Call {
+    std::shared_ptr<PendingRelease> release;
     EngineId engine;
     Instant sentAt;
-    http1::CallId call = 0;
-    net::TimerId timer = 0;
+    http1::CallId callId = 0;
+    net::TimerId timeoutTimer = 0;
   };
-  using AskId = std::uint64_t;
+  using CallNumber = std::uint64_t;
   // Calls to one engine since it last answered one.
-  struct Unanswered {
-    std::size_t calls = 0;
+  struct UnansweredCalls {
+    std::size_t count = 0;
     Instant since;  // the first of them
   };
 
-  std::shared_ptr<Release> add(const std::string& id);
-  void step();
-  void stepOf(const std::shared_ptr<Release>& release);
-  void ask(const std::shared_ptr<Release>& release, EngineId engine);
-  void answered(AskId id, int status);
-  void askOthersAt(EngineId engine);
-  void finish(const std::shared_ptr<Release>& release, bool taken);
-  std::optional<EngineId> nextFor(const Release& release) const;
-  bool askedAll(const Release& release) const;
+  std::shared_ptr<PendingRelease> addPending(const std::string& id);
+  void advanceAll();
+  void advance(const std::shared_ptr<PendingRelease>& release);
+  void sendCall(const std::shared_ptr<PendingRelease>& release, EngineId engine);
+  void onCallAnswered(CallNumber id, int status);
+  void sendPendingTo(EngineId engine);
+  void finish(const std::shared_ptr<PendingRelease>& release, bool taken);
+  std::optional<EngineId> selectEngine(const PendingRelease& release) const;
+  bool allEnginesCalled(const PendingRelease& release) const;
   // Whether the call would end its release: it is not from before a repeat.
-  static bool wouldEnd(const Ask& ask) { return ask.sentAt >= ask.release->wantedAt; }
-  std::set<EngineId> enginesAskedFor(const Release& release) const;
-  std::set<const Release*> releasesAskedOf(EngineId engine) const;
-  bool mayAskMore() const;
-  std::size_t shareOfOne() const;
-  std::map<EngineId, Unanswered> unansweredByEngine() const;
+  static bool confirmsRelease(const Call& ask) { return ask.sentAt >= ask.release->requestedAt; }
+  std::set<EngineId> enginesWithOpenCall(const PendingRelease& release) const;
+  std::set<const PendingRelease*> releasesWithOpenCallTo(EngineId engine) const;
+  bool canSendCall() const;
+  std::size_t maxUnansweredPerEngine() const;
+  std::map<EngineId, UnansweredCalls> unansweredByEngine() const;
   void scheduleStep();
 
   net::Loop& loop_;
   http1::Client& client_;
   const EngineTable& engines_;
-  std::function<void(EngineId)> heardFrom_;
+  std::function<void(EngineId)> onEngineResponse_;
   Log log_;
-  Duration step_;
+  Duration stepInterval_;
   net::TimerId stepTimer_ = 0;
-  std::list<std::shared_ptr<Release>> pending_;                     // the oldest first
-  std::unordered_map<std::string, std::shared_ptr<Release>> byId_;  // the same
-  std::map<AskId, Ask> asks_;                                       // that are out
-  std::map<EngineId, Instant> answeredAt_;  // when each engine last answered one, while releases are pending
-  AskId lastAsk_ = 0;
-  Counts counts_;
+  std::list<std::shared_ptr<PendingRelease>> pending_;                     // the oldest first
+  std::unordered_map<std::string, std::shared_ptr<PendingRelease>> byId_;  // the same
+  std::map<CallNumber, Call> calls_;                                       // that are out
+  std::map<EngineId, Instant>
+      lastAnswerAt_;  // when each engine last answered one, while releases are pending
+  CallNumber lastCall_ = 0;
+  Counters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/platform/status_reply.h
+++ b/src/platform/status_reply.h
@@ -10,15 +10,15 @@
 
 namespace gannetcourse::platform {
 
-class StatusReply final : public http1::ResponseHandler {
+class StatusResponseHandler final : public http1::ResponseHandler {
  public:
-  explicit StatusReply(std::function<void(int status)> then) : then_(std::move(then)) {}
+  explicit StatusResponseHandler(std::function<void(int status)> then) : onStatus_(std::move(then)) {}
   void onHead(const http1::ResponseHead& head) override { status_ = head.status; }
   void onBody(std::string_view) override {}
-  void onEnd(http1::CallResult, const std::string&) override { then_(status_); }
+  void onEnd(http1::CallResult, const std::string&) override { onStatus_(status_); }
 
  private:
-  std::function<void(int status)> then_;
+  std::function<void(int status)> onStatus_;
   int status_ = 0;
 };
 
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -15,25 +15,25 @@
  protected:
   // The list as it would be with these states of the two engines.
   void tell(const std::string& readerIs, const std::string& writerIs) {
-    const Json list = listOf(++told_, false,
-                             {target("r1", "prefill", reader.address(), readerIs),
-                              target("w1", "decode", writer.address(), writerIs)});
+    const Json list = engineListJson(++told_, false,
+                                     {engineJson("r1", "prefill", prefillEngine.address(), readerIs),
+                                      engineJson("w1", "decode", decodeEngine.address(), writerIs)});
     discovery.peers.front()->send(chunkOf(list.dump() + "\n"));
-    ASSERT_TRUE(until([&] { return node->listIndex() == told_; }));
+    ASSERT_TRUE(runUntil([&] { return node->listIndex() == told_; }));
   }
   void startWith(const std::string& readerIs, const std::string& writerIs) {
-    start();
-    ASSERT_TRUE(until([&] { return !discovery.seen.empty(); }));
+    startNode();
+    ASSERT_TRUE(runUntil([&] { return !discovery.requests.empty(); }));
     tell(readerIs, writerIs);
   }
   static void hold(Peer& peer, const http1::Request& request) {
-    released(peer, request);
+    answerRelease(peer, request);
   }  // says nothing else
-  std::size_t attempts(const Scripted& engine) const {
+  std::size_t attempts(const ScriptedServer& engine) const {
     return engine.count("POST", "/v1/chat/completions?x=1");
   }
   bool over() {
-    return until([&] { return node->core().pendingObligations() == 0; });
+    return runUntil([&] { return node->core().pendingObligations() == 0; });
   }
 
  private:
@@ -43,227 +43,233 @@
 // ---- A client that has gone ----
 TEST_F(EdgesTest, GoneWhileItsRequestWaitsForAPick) {
   startWith("draining", "up");
-  const auto peer = asks(ask("waits", "", "pay", "9000"));
-  ASSERT_TRUE(until([&] { return node->core().openRequests() == 1; }));
+  const auto peer = sendFromNewClient(chatRequest("waits", "", "pay", "9000"));
+  ASSERT_TRUE(runUntil([&] { return node->core().openRequests() == 1; }));
   peer->connection.close();
   EXPECT_TRUE(over());
   tell("up", "up");
-  settle(0.3);
-  EXPECT_EQ(attempts(reader), 0U);
+  runFor(0.3);
+  EXPECT_EQ(attempts(prefillEngine), 0U);
 }
 
 TEST_F(EdgesTest, GoneWhileAReadIsOut) {
-  reader.script = hold;
-  start();
+  prefillEngine.script = hold;
+  startNode();
   for (const bool reset : {false, true}) {
-    const auto peer = asks(ask(reset ? "r" : "c"));
-    const std::size_t before = attempts(reader);
-    ASSERT_TRUE(until([&] { return attempts(reader) > before; }));
+    const auto peer = sendFromNewClient(chatRequest(reset ? "r" : "c"));
+    const std::size_t before = attempts(prefillEngine);
+    ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) > before; }));
     reset ? peer->connection.abort() : peer->connection.close();
     EXPECT_TRUE(over());
-    EXPECT_TRUE(until([&] { return reader.peers.back()->closed; }));
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(runUntil([&] { return prefillEngine.peers.back()->closed; }));
+    EXPECT_TRUE(runUntil([&] {
       const std::string lease = reset ? "/kv/leases/r" : "/kv/leases/c";
-      return reader.count("DELETE", lease) + writer.count("DELETE", lease) > 0;
+      return prefillEngine.count("DELETE", lease) + decodeEngine.count("DELETE", lease) > 0;
     }));
   }
-  EXPECT_EQ(attempts(writer), 0U);
+  EXPECT_EQ(attempts(decodeEngine), 0U);
 }
 
 TEST_F(EdgesTest, GoneBetweenReadAndWrite) {
   Peer* readingAt = nullptr;
-  reader.script = [&](Peer& peer, const http1::Request& request) {
-    if (!released(peer, request)) readingAt = &peer;
+  prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) readingAt = &peer;
   };
   startWith("up", "up");
-  const auto peer = asks(ask("between"));
-  ASSERT_TRUE(until([&] { return readingAt != nullptr; }));
+  const auto peer = sendFromNewClient(chatRequest("between"));
+  ASSERT_TRUE(runUntil([&] { return readingAt != nullptr; }));
   tell("up", "draining");
   readingAt->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
-  ASSERT_TRUE(until([&] { return node->engines().open() == 0; }));
+  ASSERT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
   EXPECT_EQ(node->core().openRequests(), 1U);  // it holds its state, and no writer may have it
   peer->connection.close();
   EXPECT_TRUE(over());
-  EXPECT_TRUE(until([&] {
-    return reader.count("DELETE", "/kv/leases/between") + writer.count("DELETE", "/kv/leases/between") > 0;
+  EXPECT_TRUE(runUntil([&] {
+    return prefillEngine.count("DELETE", "/kv/leases/between") +
+               decodeEngine.count("DELETE", "/kv/leases/between") >
+           0;
   }));
   tell("up", "up");
-  settle(0.2);
-  EXPECT_EQ(attempts(writer), 0U);
+  runFor(0.2);
+  EXPECT_EQ(attempts(decodeEngine), 0U);
 }
 
 TEST_F(EdgesTest, GoneAfterAnAttemptHasFailed) {
   int asked = 0;
   std::shared_ptr<Peer> peer;
-  reader.script = [&](Peer& p, const http1::Request& r) {
-    if (released(p, r)) return;
+  prefillEngine.script = [&](Peer& p, const http1::Request& r) {
+    if (answerRelease(p, r)) return;
     if (++asked > 1) return;
     peer->connection.close();  // in the same moment as the answer that asks for a further attempt
     p.send("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
   };
-  start();
-  peer = asks(ask("again"));
-  ASSERT_TRUE(until([&] { return asked >= 1; }));
+  startNode();
+  peer = sendFromNewClient(chatRequest("again"));
+  ASSERT_TRUE(runUntil([&] { return asked >= 1; }));
   EXPECT_TRUE(over());
   const int then = asked;
-  settle(0.3);
+  runFor(0.3);
   EXPECT_EQ(asked, then);  // nothing begins later
 }
 
 TEST_F(EdgesTest, GoneWithRequestsAheadThatWereNotRead) {
-  reader.script = hold;
-  start();
+  prefillEngine.script = hold;
+  startNode();
   const std::string big(200 * 1024, 'x');  // more than the node keeps behind a request: it stops reading
-  const auto peer = asks(ask("first") + ask("second", "", "chat", "4800", "{\"a\":\"" + big + "\"}") +
-                         ask("third", "", "chat", "4800", "{\"a\":\"" + big + "\"}"));
-  ASSERT_TRUE(until([&] { return attempts(reader) == 1; }));
-  settle(0.2);
+  const auto peer = sendFromNewClient(chatRequest("first") +
+                                      chatRequest("second", "", "chat", "4800", "{\"a\":\"" + big + "\"}") +
+                                      chatRequest("third", "", "chat", "4800", "{\"a\":\"" + big + "\"}"));
+  ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) == 1; }));
+  runFor(0.2);
   peer->connection.close();
   EXPECT_TRUE(over());
-  settle(0.1);
-  EXPECT_EQ(attempts(reader), 1U);
+  runFor(0.1);
+  EXPECT_EQ(attempts(prefillEngine), 1U);
 }
 
 TEST_F(EdgesTest, GoneWhileItTakesNothing) {
-  writer.script = [](Peer& peer, const http1::Request& request) {
-    if (released(peer, request)) return;
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
     std::string stream = kStreamHead;
     for (int i = 0; i < 400; ++i) stream += chunkOf(eventOf(std::string(16000, 'y')));
     peer.send(stream);
   };
-  start();
-  const auto peer = asks(ask("slow"));
-  ASSERT_TRUE(until([&] { return peer->has("yyy"); }));
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("slow"));
+  ASSERT_TRUE(runUntil([&] { return peer->hasReceived("yyy"); }));
   peer->connection.suspend(true);
-  settle(0.2);
+  runFor(0.2);
   peer->connection.abort();
   EXPECT_TRUE(over());
-  EXPECT_TRUE(until([&] { return node->engines().open() == 0; }));
+  EXPECT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
 }
 
 TEST_F(EdgesTest, WhoAsksAndGoesAtOnceIsNotSentOn) {
   startWith("draining", "up");
   const auto peer = client();
-  ASSERT_TRUE(
-      until([&] { return peer->connection.isConnected() && node->front().server().connectionCount() == 1; }));
-  peer->send(ask("and-gone"));
+  ASSERT_TRUE(runUntil(
+      [&] { return peer->connection.isConnected() && node->frontend().server().connectionCount() == 1; }));
+  peer->send(chatRequest("and-gone"));
   peer->connection.close();
-  EXPECT_TRUE(until([&] { return node->front().server().connectionCount() == 0; }));
+  EXPECT_TRUE(runUntil([&] { return node->frontend().server().connectionCount() == 0; }));
   EXPECT_EQ(node->core().counters().accepted, 0U);
 }
 
 TEST_F(EdgesTest, AClientThatEndsItsSendingHasLeft) {
-  reader.script = hold;
-  start();
-  const auto peer = asks(ask("half"));
-  ASSERT_TRUE(until([&] { return attempts(reader) == 1; }));
+  prefillEngine.script = hold;
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("half"));
+  ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) == 1; }));
   peer->connection.shutdownWrite();
   EXPECT_TRUE(over());
-  EXPECT_TRUE(until([&] { return peer->closed; }));
-  EXPECT_EQ(peer->got, "");
+  EXPECT_TRUE(runUntil([&] { return peer->closed; }));
+  EXPECT_EQ(peer->received, "");
 }
 
 // ---- The moment of a close ----
 TEST_F(EdgesTest, ALastAnswerIsNotEatenByWhatIsStillSent) {
-  start();
-  const auto peer = asks("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
-                         std::string(100 * 1024, 'z'));
+  startNode();
+  const auto peer =
+      sendFromNewClient("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
+                        std::string(100 * 1024, 'z'));
   EXPECT_EQ(statusOf(peer), 413);
-  EXPECT_TRUE(until([&] { return peer->closed; }));
-  EXPECT_TRUE(peer->has("\r\n\r\nthe request cannot be read"));
+  EXPECT_TRUE(runUntil([&] { return peer->closed; }));
+  EXPECT_TRUE(peer->hasReceived("\r\n\r\nthe request cannot be read"));
 }
 
 TEST_F(EdgesTest, ARequestThatCrossesTheEndOfARestingConnectionIsNotSentOn) {
-  start();
-  const auto peer = asks(ask("one"));
-  ASSERT_TRUE(until([&] { return peer->has("0\r\n\r\n"); }));
-  const std::size_t before = attempts(reader);
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("one"));
+  ASSERT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
+  const std::size_t before = attempts(prefillEngine);
   bool done = false;
   node->drain([&] { done = true; });
-  peer->send(ask("crosses"));
-  EXPECT_TRUE(until([&] { return peer->closed; }));
-  EXPECT_FALSE(peer->has("HTTP/1.1 5"));
-  EXPECT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(attempts(reader), before);
+  peer->send(chatRequest("crosses"));
+  EXPECT_TRUE(runUntil([&] { return peer->closed; }));
+  EXPECT_FALSE(peer->hasReceived("HTTP/1.1 5"));
+  EXPECT_TRUE(runUntil([&] { return done; }));
+  EXPECT_EQ(attempts(prefillEngine), before);
   EXPECT_EQ(node->core().counters().accepted, 1U);
 }
 
 TEST_F(EdgesTest, AnsweredRequestsOfADrainingNodeEndTheirConnectionsOneByOne) {
-  start();
+  startNode();
   const auto fresh = client();
-  ASSERT_TRUE(until([&] { return node->front().server().connectionCount() == 1; }));
+  ASSERT_TRUE(runUntil([&] { return node->frontend().server().connectionCount() == 1; }));
   bool done = false;
   node->drain([&] { done = true; });
-  fresh->send(ask("late"));
+  fresh->send(chatRequest("late"));
   EXPECT_EQ(statusOf(fresh), 503);
-  const auto another = asks(ask("later"));  // new connections are still taken
+  const auto another = sendFromNewClient(chatRequest("later"));  // new connections are still taken
   EXPECT_EQ(statusOf(another), 503);
-  EXPECT_TRUE(until([&] { return fresh->closed && another->closed; }));
-  EXPECT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(attempts(reader), 0U);
+  EXPECT_TRUE(runUntil([&] { return fresh->closed && another->closed; }));
+  EXPECT_TRUE(runUntil([&] { return done; }));
+  EXPECT_EQ(attempts(prefillEngine), 0U);
 }
 
 TEST_F(EdgesTest, ANodeThatEndsLeavesNoConnectionThatWaits) {
-  start();
+  startNode();
   const auto silent = client();
-  ASSERT_TRUE(until([&] { return node->front().server().connectionCount() == 1; }));
+  ASSERT_TRUE(runUntil([&] { return node->frontend().server().connectionCount() == 1; }));
   bool done = false;
   node->drain([&] { done = true; });
-  ASSERT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(node->front().server().connectionCount(), 0U);
-  EXPECT_TRUE(until([&] { return silent->closed; }));
+  ASSERT_TRUE(runUntil([&] { return done; }));
+  EXPECT_EQ(node->frontend().server().connectionCount(), 0U);
+  EXPECT_TRUE(runUntil([&] { return silent->closed; }));
 }
 
 TEST_F(EdgesTest, ASecondAnswerThatComesLateIsNotTheNextRequestsAnswer) {
-  writer.script = [this](Peer& peer, const http1::Request& request) {
-    if (released(peer, request)) return;
+  decodeEngine.script = [this](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
     const bool first = *request.fields.find("X-Call-Id") == "one";
     peer.send(kStreamHead + chunkOf(eventOf(first ? "first" : "second") + kDone) + "0\r\n\r\n");
     if (!first) return;
-    const auto at = writer.peers.back();
+    const auto at = decodeEngine.peers.back();
     loop.runAfter(Duration(0.004), [at] {
       if (!at->closed) at->send(kStreamHead + chunkOf(eventOf("stray") + kDone) + "0\r\n\r\n");
     });
   };
-  start();
-  const auto one = asks(ask("one"));
-  ASSERT_TRUE(until([&] { return one->has("0\r\n\r\n"); }));
-  const auto two = asks(ask("two"));
-  ASSERT_TRUE(until([&] { return two->has("0\r\n\r\n"); }));
-  EXPECT_TRUE(two->has("second"));
-  EXPECT_FALSE(two->has("stray"));
+  startNode();
+  const auto one = sendFromNewClient(chatRequest("one"));
+  ASSERT_TRUE(runUntil([&] { return one->hasReceived("0\r\n\r\n"); }));
+  const auto two = sendFromNewClient(chatRequest("two"));
+  ASSERT_TRUE(runUntil([&] { return two->hasReceived("0\r\n\r\n"); }));
+  EXPECT_TRUE(two->hasReceived("second"));
+  EXPECT_FALSE(two->hasReceived("stray"));
 }
 
 TEST_F(EdgesTest, HalfALineThenACloseCutsTheClientsStream) {
-  writer.script = [](Peer& peer, const http1::Request& request) {
-    if (released(peer, request)) return;
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
     peer.send(kStreamHead + chunkOf(eventOf("whole")) + chunkOf("data: {\"half"));
     peer.connection.close();
   };
-  start();
-  const auto peer = asks(ask("cut"));
-  EXPECT_TRUE(until([&] { return peer->closed; }));
-  EXPECT_TRUE(peer->has("whole"));
-  EXPECT_FALSE(peer->has("half"));
-  EXPECT_FALSE(peer->has("0\r\n\r\n"));
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("cut"));
+  EXPECT_TRUE(runUntil([&] { return peer->closed; }));
+  EXPECT_TRUE(peer->hasReceived("whole"));
+  EXPECT_FALSE(peer->hasReceived("half"));
+  EXPECT_FALSE(peer->hasReceived("0\r\n\r\n"));
 }
 
 // ---- Forms ----
 TEST_F(EdgesTest, ManyCommandsAtOnceAreAnsweredInOrder) {
-  start();
+  startNode();
   std::string all;
   constexpr int kCommands = 120;
   for (int i = 0; i < kCommands; ++i)
-    all += ask("c" + std::to_string(i), "", "chat", "4800", "{\"a\":\"" + std::string(2000, 'x') + "\"}");
-  const auto peer = asks(all);  // 240 KB: more than is kept at once
-  ASSERT_TRUE(until([&] { return node->core().counters().served == kCommands; }));
-  ASSERT_TRUE(until([&] {
+    all += chatRequest("c" + std::to_string(i), "", "chat", "4800",
+                       "{\"a\":\"" + std::string(2000, 'x') + "\"}");
+  const auto peer = sendFromNewClient(all);  // 240 KB: more than is kept at once
+  ASSERT_TRUE(runUntil([&] { return node->core().counters().served == kCommands; }));
+  ASSERT_TRUE(runUntil([&] {
     std::size_t ends = 0;
-    for (std::size_t at = 0; (at = peer->got.find("\r\n0\r\n\r\n", at)) != std::string::npos; ++at) ++ends;
+    for (std::size_t at = 0; (at = peer->received.find("\r\n0\r\n\r\n", at)) != std::string::npos; ++at)
+      ++ends;
     return ends == kCommands;
   }));
   std::vector<std::string> ids;
-  for (const auto& r : reader.seen) {
+  for (const auto& r : prefillEngine.requests) {
     if (r.method == "POST") ids.push_back(*r.fields.find("X-Call-Id"));
   }
   ASSERT_EQ(ids.size(), static_cast<std::size_t>(kCommands));
@@ -271,9 +277,9 @@
 }
 
 TEST_F(EdgesTest, ARequestInPiecesOfOneByteIsServed) {
-  start();
+  startNode();
   const auto peer = client();
-  std::string request = ask("piece", "X-Again: 1\r\n");
+  std::string request = chatRequest("piece", "X-Again: 1\r\n");
   request.replace(request.find("X-Call-Class:"), 13, "x-CALL-class:");
   for (const char c : request) {
     peer->send(std::string(1, c));
@@ -287,8 +293,8 @@
   int accepted = -1;
   net::Listener listener(loop, {}, [&](int fd) { accepted = fd; });
   Peer out(loop), in(loop);
-  out.connection.connect({"127.0.0.1", listener.port()}, Duration(kBound));
-  const Instant end = net::monotonicNow() + Duration(kBound);
+  out.connection.connect({"127.0.0.1", listener.port()}, Duration(kTimeoutSeconds));
+  const Instant end = net::monotonicNow() + Duration(kTimeoutSeconds);
   while (accepted < 0 && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   ASSERT_GE(accepted, 0);
   in.connection.adopt(accepted);
@@ -319,10 +325,10 @@
   std::vector<int> accepted;
   net::Listener listener(loop, {}, [&](int fd) { accepted.push_back(fd); });
   std::vector<std::unique_ptr<Peer>> peers;
-  const Instant end = net::monotonicNow() + Duration(kBound);
+  const Instant end = net::monotonicNow() + Duration(kTimeoutSeconds);
   for (int i = 0; i < 12; ++i) {
     peers.push_back(std::make_unique<Peer>(loop));
-    peers.back()->connection.connect({"127.0.0.1", listener.port()}, Duration(kBound));
+    peers.back()->connection.connect({"127.0.0.1", listener.port()}, Duration(kTimeoutSeconds));
     // The first one comes while there are descriptors: the sanitizer needs some to check a kind of object.
     while (i == 0 && accepted.empty() && net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   }
@@ -349,43 +355,43 @@
 TEST_F(EdgesTest, ACrowdWhileDiscoveryIsAwayLeavesRoomForAllThatServes) {
   sockets = 96;
   discovery.script = [](Peer& peer, const http1::Request&) { peer.connection.abort(); };
-  start();
+  startNode();
   std::vector<std::shared_ptr<Peer>> crowd;
   for (int i = 0; i < 150; ++i) crowd.push_back(client());
-  settle(0.3);
-  EXPECT_EQ(statusOf(asks(ask("served"))), 200);
-  EXPECT_LE(node->front().server().connectionCount(), 40U);
-  const std::size_t before = discovery.seen.size();
-  EXPECT_TRUE(until([&] { return discovery.seen.size() > before; }));  // the watch is still tried
+  runFor(0.3);
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("served"))), 200);
+  EXPECT_LE(node->frontend().server().connectionCount(), 40U);
+  const std::size_t before = discovery.requests.size();
+  EXPECT_TRUE(runUntil([&] { return discovery.requests.size() > before; }));  // the watch is still tried
 }
 
 // ---- Attempts ----
 TEST_F(EdgesTest, EachAttemptTellsWhatIsLeftToTheClient) {
   int reads = 0;
-  reader.script = [&](Peer& peer, const http1::Request& request) {
-    if (released(peer, request)) return;
-    if (++reads > 1) return answerRead(peer, request);
+  prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
+    if (++reads > 1) return answerPrefill(peer, request);
     loop.runAfter(Duration(0.3),
                   [&peer] { peer.send("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"); });
   };
-  start();
-  EXPECT_EQ(statusOf(asks(ask("told"))), 200);
+  startNode();
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("told"))), 200);
   std::vector<int> told;
-  for (const auto& r : reader.seen) {
+  for (const auto& r : prefillEngine.requests) {
     if (r.method == "POST") told.push_back(std::stoi(*r.fields.find("X-Budget-Ms")));
   }
   ASSERT_GE(told.size(), 2U);
   EXPECT_LE(told[0], 4800);
   EXPECT_LE(told[1], 4500);  // 0.3 s have gone by
   EXPECT_LT(told[1], told[0]);
-  EXPECT_LE(std::stoi(*writer.seen.front().fields.find("X-Budget-Ms")), told[1]);
+  EXPECT_LE(std::stoi(*decodeEngine.requests.front().fields.find("X-Budget-Ms")), told[1]);
 }
 
 TEST_F(EdgesTest, WhatWasNeverSentOnIsRefusedNotFailed) {
   startWith("draining", "draining");
-  EXPECT_EQ(statusOf(asks(ask("a", "", "chat", "200"))), 503);
-  EXPECT_EQ(statusOf(asks(ask("b", "", "pay", "200"))), 503);
-  EXPECT_EQ(statusOf(asks(ask("c", "", "chat", "1"))), 503);
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("a", "", "chat", "200"))), 503);
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("b", "", "pay", "200"))), 503);
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("c", "", "chat", "1"))), 503);
   EXPECT_EQ(node->core().counters().attempts, 0U);
 }
 
--- a/tests/long_turns_test.cpp
+++ b/tests/long_turns_test.cpp
@@ -12,7 +12,7 @@
   // Two requests whose reads end in one iteration; `meanwhile` happens while the write of the first one is
   // sent.
   void readsEndTogether(const std::function<void()>& meanwhile) {
-    Json json = file();
+    Json json = configurationJson();
     node = std::make_unique<Node>(
         loop, configurationOf(json), [](const std::string&, const std::string&, const std::string&) {},
         [this](const router::Record& record) {
@@ -22,38 +22,39 @@
           }
         });
     openConnections();
-    reader.script = [this](Peer& peer, const http1::Request& request) {
-      if (!released(peer, request)) reading.push_back(&peer);
+    prefillEngine.script = [this](Peer& peer, const http1::Request& request) {
+      if (!answerRelease(peer, request)) reading.push_back(&peer);
     };
     for (const char* const id : {"one", "two"}) {
       clients.push_back(std::make_unique<RawSocket>());
       ASSERT_TRUE(clients.back()->connect(node->port()));
-      clients.back()->send(ask(id));
-      pass(0.1);
+      clients.back()->send(chatRequest(id));
+      advance(0.1);
     }
-    ASSERT_TRUE(within(1, [&] { return reading.size() == 2; }));
+    ASSERT_TRUE(happensWithin(1, [&] { return reading.size() == 2; }));
     then = meanwhile;
     for (Peer* const peer : reading)
       peer->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
-    settle();
+    runUntilIdle();
     ASSERT_FALSE(first.empty());
   }
   // Two to the writer, which then rest: what is sent to it later leaves at once.
   void openConnections() {
     std::vector<Peer*> writing;
-    writer.script = [&](Peer& peer, const http1::Request& request) {
-      if (!released(peer, request)) writing.push_back(&peer);
+    decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
+      if (!answerRelease(peer, request)) writing.push_back(&peer);
     };
-    const auto one = asks(ask("warm-one")), two = asks(ask("warm-two"));
-    ASSERT_TRUE(within(1, [&] { return writing.size() == 2; }));
-    for (Peer* const peer : writing) peer->send(wholeStream());
-    pass(0.2);
-    writer.script = [](Peer& peer, const http1::Request& request) { answerWrite(peer, request); };
-    writer.seen.clear();
+    const auto one = sendFromNewClient(chatRequest("warm-one")),
+               two = sendFromNewClient(chatRequest("warm-two"));
+    ASSERT_TRUE(happensWithin(1, [&] { return writing.size() == 2; }));
+    for (Peer* const peer : writing) peer->send(completeStream());
+    advance(0.2);
+    decodeEngine.script = [](Peer& peer, const http1::Request& request) { answerDecode(peer, request); };
+    decodeEngine.requests.clear();
   }
   RawSocket& otherClient() { return *clients[first == "one" ? 1 : 0]; }
   bool otherWasSent() const {
-    for (const auto& request : writer.seen) {
+    for (const auto& request : decodeEngine.requests) {
       const std::string* const id = request.fields.find("X-Call-Id");
       if (id != nullptr && *id != first) return true;
     }
@@ -69,30 +70,31 @@
 TEST_F(LongTurnsTest, NothingIsSentForAClientThatHasLeftMeanwhile) {
   readsEndTogether([this] {
     otherClient().reset();
-    deliver();
-    holdUp(0.5);
+    deliverSentBytes();
+    stall(0.5);
   });
-  pass(1);
+  advance(1);
   EXPECT_FALSE(otherWasSent());
-  EXPECT_GE(releases(first == "one" ? "two" : "one"), 1U);
+  EXPECT_GE(releaseCount(first == "one" ? "two" : "one"), 1U);
 }
 
 TEST_F(LongTurnsTest, WhatIsStillWantedIsSentWithTheNextIteration) {
-  readsEndTogether([this] { holdUp(0.5); });
-  pass(0.05);
+  readsEndTogether([this] { stall(0.5); });
+  advance(0.05);
   EXPECT_TRUE(otherWasSent());
-  EXPECT_TRUE(within(1, [&] { return node->core().pendingObligations() == 0; }));
+  EXPECT_TRUE(happensWithin(1, [&] { return node->core().pendingObligations() == 0; }));
   EXPECT_EQ(node->core().counters().served, 4U) << "the two that opened the connections as well";
 }
 
 TEST_F(LongTurnsTest, NothingIsSentToAnEngineWhoseDrainHasComeMeanwhile) {
   readsEndTogether([this] {
-    watch()->send(
-        chunkOf(listOf(9, false, {target("w1", "decode", writer.address(), "draining")}).dump() + "\n"));
-    deliver();
-    holdUp(0.5);
+    openWatch()->send(chunkOf(
+        engineListJson(9, false, {engineJson("w1", "decode", decodeEngine.address(), "draining")}).dump() +
+        "\n"));
+    deliverSentBytes();
+    stall(0.5);
   });
-  pass(1);
+  advance(1);
   EXPECT_FALSE(otherWasSent());
 }
 
--- a/tests/platform_daemon_test.cpp
+++ b/tests/platform_daemon_test.cpp
@@ -51,7 +51,7 @@
     return text.str();
   }
   bool logs(const std::string& text) {
-    return until([&] { return logged().find(text) != std::string::npos; });
+    return runUntil([&] { return logged().find(text) != std::string::npos; });
   }
   // The port that it listens on; 0 where it does not say one.
   std::uint16_t port() {
@@ -62,25 +62,25 @@
   }
   std::shared_ptr<Peer> asksProcess(const std::string& request) {
     auto peer = std::make_shared<Peer>(loop);
-    peer->connection.connect({"127.0.0.1", port()}, Duration(kBound));
+    peer->connection.connect({"127.0.0.1", port()}, Duration(kTimeoutSeconds));
     peer->send(request);
     return peer;
   }
   // Its exit code; -1 where it does not end, or not by itself.
   int exitCode() {
     int status = 0;
-    const bool ended = until([&] { return waitpid(process_, &status, WNOHANG) == process_; });
+    const bool ended = runUntil([&] { return waitpid(process_, &status, WNOHANG) == process_; });
     if (!ended) return -1;
     process_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
   // A stream whose first event has come.
   std::shared_ptr<Peer> streaming() {
-    writer.script = [](Peer& peer, const http1::Request& request) {
-      if (!released(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
+    decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+      if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
     };
-    auto peer = asksProcess(ask("open"));
-    EXPECT_TRUE(until([&] { return peer->has("\"a\""); }));
+    auto peer = asksProcess(chatRequest("open"));
+    EXPECT_TRUE(runUntil([&] { return peer->hasReceived("\"a\""); }));
     return peer;
   }
 
@@ -89,10 +89,10 @@
 };
 
 TEST_F(PlatformDaemonTest, TakesReloadAndTerminationTogetherAndFinishesItsStream) {
-  writeConfiguration(file());
+  writeConfiguration(configurationJson());
   launch();
   const auto peer = streaming();
-  Json fresh = file();
+  Json fresh = configurationJson();
   fresh["settings"]["classes"][0]["aimS"] = 2.5;
   writeConfiguration(fresh);
   kill(process_, SIGTERM);
@@ -100,19 +100,19 @@
   kill(process_, SIGTERM);
   ASSERT_TRUE(logs("draining"));
   EXPECT_TRUE(logs("configuration reloaded"));
-  const auto late = asksProcess(ask("late"));
+  const auto late = asksProcess(chatRequest("late"));
   EXPECT_EQ(statusOf(late), 503);
-  writer.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
-  EXPECT_TRUE(until([&] { return peer->has("\r\n0\r\n\r\n"); }));
+  decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
+  EXPECT_TRUE(runUntil([&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
   EXPECT_EQ(exitCode(), 0);
   EXPECT_NE(logged().find("drained: "), std::string::npos);
 }
 
 TEST_F(PlatformDaemonTest, AFileThatCannotBeUsedLeavesTheOldStateAndOneLine) {
-  writeConfiguration(file());
+  writeConfiguration(configurationJson());
   launch();
   ASSERT_NE(port(), 0);
-  Json bad = file();
+  Json bad = configurationJson();
   bad["settings"]["classes"][1]["idempotency"] = "deduplicated";  // another effect under open requests
   writeConfiguration(bad);
   kill(process_, SIGHUP);
@@ -120,47 +120,47 @@
   std::ofstream(folder_ / "config.json") << "{\"name\": ";
   kill(process_, SIGHUP);
   EXPECT_TRUE(logs("not valid JSON"));
-  EXPECT_EQ(statusOf(asksProcess(ask("still"))), 200);
+  EXPECT_EQ(statusOf(asksProcess(chatRequest("still"))), 200);
   kill(process_, SIGTERM);
   EXPECT_EQ(exitCode(), 0);
 }
 
 // The file may still be written when the signal comes, or not be opened for a moment.
 TEST_F(PlatformDaemonTest, AFileThatIsStillWrittenAtTheSignalIsReadAgain) {
-  writeConfiguration(file());
+  writeConfiguration(configurationJson());
   launch();
   ASSERT_NE(port(), 0);
-  std::ofstream(folder_ / "config.json") << file().dump().substr(0, 200);
+  std::ofstream(folder_ / "config.json") << configurationJson().dump().substr(0, 200);
   kill(process_, SIGHUP);
   ASSERT_TRUE(logs("not valid JSON"));
-  Scripted moved(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); });
-  Json fresh = file();
+  ScriptedServer moved(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); });
+  Json fresh = configurationJson();
   fresh["discovery"] = moved.address();
   writeConfiguration(fresh);
   EXPECT_TRUE(logs("configuration reloaded"));
-  EXPECT_TRUE(until([&] { return !moved.seen.empty(); }));
+  EXPECT_TRUE(runUntil([&] { return !moved.requests.empty(); }));
 }
 
 TEST_F(PlatformDaemonTest, AFileThatIsStillWrittenAtTheStartIsReadAgain) {
-  std::ofstream(folder_ / "config.json") << file().dump().substr(0, 200);
+  std::ofstream(folder_ / "config.json") << configurationJson().dump().substr(0, 200);
   launch();
-  settle(0.3);
-  writeConfiguration(file());
+  runFor(0.3);
+  writeConfiguration(configurationJson());
   EXPECT_NE(port(), 0);
-  EXPECT_EQ(statusOf(asksProcess(ask("first"))), 200);
+  EXPECT_EQ(statusOf(asksProcess(chatRequest("first"))), 200);
 }
 
 // The process that had the address before may still be at its end.
 TEST_F(PlatformDaemonTest, AStartWaitsForItsAddress) {
   net::Listener before(loop, {}, [](int fd) { close(fd); });
-  Json json = file();
+  Json json = configurationJson();
   json["listen"] = "127.0.0.1:" + std::to_string(before.port());
   writeConfiguration(json);
   launch();
   EXPECT_TRUE(logs("cannot listen"));
   before.close();
   EXPECT_NE(port(), 0);
-  EXPECT_EQ(statusOf(asksProcess(ask("first"))), 200);
+  EXPECT_EQ(statusOf(asksProcess(chatRequest("first"))), 200);
 }
 
 TEST_F(PlatformDaemonTest, AnExitDoesNotWaitForALogThatNobodyReads) {
@@ -170,9 +170,9 @@
   while (write(ends[1], "x", 1) == 1) {
   }
   fcntl(ends[1], F_SETFL, 0);
-  writeConfiguration(file());
+  writeConfiguration(configurationJson());
   launch(ends[1]);
-  ASSERT_TRUE(until([&] { return !discovery.seen.empty(); }));
+  ASSERT_TRUE(runUntil([&] { return !discovery.requests.empty(); }));
   kill(process_, SIGTERM);
   EXPECT_EQ(exitCode(), 0);
   close(ends[0]);
@@ -180,7 +180,7 @@
 }
 
 TEST_F(PlatformDaemonTest, AStartWithABadFileNamesTheFieldAndEnds) {
-  Json bad = file();
+  Json bad = configurationJson();
   bad["settings"]["limits"]["maxAttempts"] = "six";
   writeConfiguration(bad);
   launch();
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -20,7 +20,7 @@
 using instance::Json;
 using platform::Configuration;
 
-constexpr double kBound = 20;  // seconds; only a broken program needs them
+constexpr double kTimeoutSeconds = 20;  // seconds; only a broken program needs them
 
 inline const char* const kSettings = R"({"balancers":1,
   "classes":[{"aimS":1.5,"deadlineS":6.0,"idempotency":"idempotent","name":"chat","worth":3.0,"lateWorth":0.1},
@@ -34,13 +34,13 @@
   "rules":{"answerSlackS":0.016,"fallS":3.0,"overloadFactor":2.5,"startCapacity":0.29,"warmAfterS":13.0},
   "tenants":[],"tickS":0.004,"worthBy":"work","zone":"north","zones":["north","south"]})";
 
-inline Json target(const std::string& name, const std::string& type, const std::string& address,
-                   const std::string& status = "up") {
+inline Json engineJson(const std::string& name, const std::string& type, const std::string& address,
+                       const std::string& status = "up") {
   return {{"name", name},     {"address", address}, {"zone", "north"}, {"type", type}, {"group", 0},
           {"status", status}, {"weight", 1.0},      {"since_ms", 0},   {"unknown", 1}};
 }
 
-inline Json listOf(std::uint64_t index, bool full, std::vector<Json> entries) {
+inline Json engineListJson(std::uint64_t index, bool full, std::vector<Json> entries) {
   return {{"index", index}, {"snapshot", full}, {"endpoints", std::move(entries)}};
 }
 
@@ -48,43 +48,43 @@
  protected:
   explicit PlatformTest(net::Loop::Clock clock = net::monotonicNow)
       : loop(std::move(clock)),
-        reader(loop, [](Peer& p, const http1::Request& r) { answerRead(p, r); }),
-        writer(loop, [](Peer& p, const http1::Request& r) { answerWrite(p, r); }),
+        prefillEngine(loop, [](Peer& p, const http1::Request& r) { answerPrefill(p, r); }),
+        decodeEngine(loop, [](Peer& p, const http1::Request& r) { answerDecode(p, r); }),
         discovery(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); }) {}
   ~PlatformTest() override {
     node.reset();
     loop.runOnce(Duration(0));
   }
 
-  static bool released(Peer& peer, const http1::Request& request) {
+  static bool answerRelease(Peer& peer, const http1::Request& request) {
     if (request.method != "DELETE") return false;
     peer.send("HTTP/1.1 204 No Content\r\n\r\n");
     return true;
   }
-  static void answerRead(Peer& peer, const http1::Request& request) {
-    if (!released(peer, request))
+  static void answerPrefill(Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request))
       peer.send(
           "HTTP/1.1 202 Accepted\r\nX-Load-Report: TEXT mean_ms=3, x0=0.25, x1=2\r\nContent-Length: "
           "20\r\n\r\n"
           "{\"cached_tokens\":40}");
   }
-  static std::string wholeStream() {
+  static std::string completeStream() {
     return kStreamHead + chunkOf(eventOf("a")) + chunkOf(eventOf("b") + kDone) +
            chunkOf(": X-Load-Report: TEXT mean_ms=1, x0=0.5, x1=0\n") + "0\r\n\r\n";
   }
-  static void answerWrite(Peer& peer, const http1::Request& request) {
-    if (!released(peer, request)) peer.send(wholeStream());
+  static void answerDecode(Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) peer.send(completeStream());
   }
 
-  Json file() const {
+  Json configurationJson() const {
     return {{"name", "n0"},
             {"listen", "127.0.0.1:0"},
             {"discovery", discovery.address()},
             {"seed", "92094eb940cf389a"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", sockets}}},
-            {"known",
-             listOf(7, true,
-                    {target("r1", "prefill", reader.address()), target("w1", "decode", writer.address())})},
+            {"known", engineListJson(7, true,
+                                     {engineJson("r1", "prefill", prefillEngine.address()),
+                                      engineJson("w1", "decode", decodeEngine.address())})},
             {"settings", Json::parse(kSettings)}};
   }
   static Configuration configurationOf(const Json& json) {
@@ -101,8 +101,8 @@
     std::filesystem::remove(path);
     return c;
   }
-  void start(const std::function<void(Json&)>& change = nullptr) {
-    Json json = file();
+  void startNode(const std::function<void(Json&)>& change = nullptr) {
+    Json json = configurationJson();
     if (change) change(json);
     node = std::make_unique<platform::Node>(
         loop, configurationOf(json),
@@ -110,50 +110,52 @@
           if (level != "info") log.push_back(text);
         });
   }
-  bool until(const std::function<bool()>& done) {
-    const Instant end = net::monotonicNow() + Duration(kBound);
+  bool runUntil(const std::function<bool()>& done) {
+    const Instant end = net::monotonicNow() + Duration(kTimeoutSeconds);
     while (!done()) {
       if (net::monotonicNow() > end) return false;
       loop.runOnce(Duration(0.01));
     }
     return true;
   }
-  void settle(double seconds) {
+  void runFor(double seconds) {
     const Instant end = net::monotonicNow() + Duration(seconds);
     while (net::monotonicNow() < end) loop.runOnce(Duration(0.01));
   }
   std::shared_ptr<Peer> client() {
     auto peer = std::make_shared<Peer>(loop);
-    peer->connection.connect({"127.0.0.1", node->port()}, Duration(kBound));
+    peer->connection.connect({"127.0.0.1", node->port()}, Duration(kTimeoutSeconds));
     return peer;
   }
-  static std::string ask(const std::string& id, const std::string& more = "",
-                         const std::string& className = "chat", const std::string& budget = "4800",
-                         const std::string& body = "{\"messages\":[]}") {
+  static std::string chatRequest(const std::string& id, const std::string& more = "",
+                                 const std::string& className = "chat", const std::string& budget = "4800",
+                                 const std::string& body = "{\"messages\":[]}") {
     return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: " + id +
            "\r\nX-Call-Class: " + className + "\r\nX-Route-Hash: 7f3a9c21e0b4d655\r\nX-Budget-Ms: " + budget +
            "\r\nX-Call-Info: prefix=5c0f6e1a2b3d4c59,prompt_len=512,prefix_len=48,max_out=80\r\n" + more +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  std::shared_ptr<Peer> asks(const std::string& request) {
+  std::shared_ptr<Peer> sendFromNewClient(const std::string& request) {
     auto peer = client();
     peer->send(request);
     return peer;
   }
   // The status of the one answer.
   int statusOf(const std::shared_ptr<Peer>& peer) {
-    if (!until([&] { return peer->has("\r\n\r\n") || peer->closed; }) || !peer->has("HTTP/1.1 ")) return 0;
-    return std::stoi(peer->got.substr(9, 3));
+    if (!runUntil([&] { return peer->hasReceived("\r\n\r\n") || peer->closed; }) ||
+        !peer->hasReceived("HTTP/1.1 "))
+      return 0;
+    return std::stoi(peer->received.substr(9, 3));
   }
 
   // Asks until the node says that it is ready.
   bool becomesReady() {
-    return until([&] { return statusOf(asks("GET /-/ready HTTP/1.1\r\n\r\n")) == 200; });
+    return runUntil([&] { return statusOf(sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n")) == 200; });
   }
 
   std::size_t sockets = 256;
   net::Loop loop;
-  Scripted reader, writer, discovery;
+  ScriptedServer prefillEngine, decodeEngine, discovery;
   std::unique_ptr<platform::Node> node;
   std::vector<std::string> log;
 };
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -28,8 +28,8 @@
  public:
   explicit Peer(net::Loop& loop) : connection(loop, *this) {}
   void onBytes(std::span<const std::uint8_t> bytes) override {
-    got.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
-    if (onGot) onGot();
+    received.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
+    if (onReceived) onReceived();
   }
   void onConnected() override { connection.flush(); }
   void onWritable() override {}
@@ -38,19 +38,19 @@
     connection.append(text);
     connection.flush();
   }
-  bool has(const std::string& text) const { return got.find(text) != std::string::npos; }
+  bool hasReceived(const std::string& text) const { return received.find(text) != std::string::npos; }
 
   net::Connection connection;
-  std::string got;
+  std::string received;
   bool closed = false;
-  std::function<void()> onGot;
+  std::function<void()> onReceived;
 };
 
 // A server whose requests are answered by a script, one at a time on each connection.
-class Scripted {
+class ScriptedServer {
  public:
   using Script = std::function<void(Peer&, const http1::Request&)>;
-  Scripted(net::Loop& loop, Script script)
+  ScriptedServer(net::Loop& loop, Script script)
       : loop_(loop),
         script(std::move(script)),
         listener(loop, net::Endpoint{}, [this](int fd) { accept(fd); }) {}
@@ -58,7 +58,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
   std::size_t count(const std::string& method, const std::string& target) const {
     std::size_t n = 0;
-    for (const auto& r : seen) n += r.method == method && r.target == target;
+    for (const auto& r : requests) n += r.method == method && r.target == target;
     return n;
   }
 
@@ -67,10 +67,10 @@
     peers.push_back(std::make_shared<Peer>(loop_));
     const auto peer = peers.back().get();
     const auto parser = std::make_shared<http1::RequestParser>(http1::Limits{});
-    peer->onGot = [this, peer, parser] {
-      parser->append(std::exchange(peer->got, {}));
+    peer->onReceived = [this, peer, parser] {
+      parser->append(std::exchange(peer->received, {}));
       while (parser->parse() == http1::ParseState::kComplete) {
-        seen.push_back(parser->request());
+        requests.push_back(parser->request());
         const http1::Request request = std::move(parser->request());
         parser->next();
         script(*peer, request);
@@ -84,7 +84,7 @@
 
  public:
   Script script;
-  std::vector<http1::Request> seen;
+  std::vector<http1::Request> requests;
   std::list<std::shared_ptr<Peer>> peers;
   net::Listener listener;
 };
--- a/tests/random_lives_test.cpp
+++ b/tests/random_lives_test.cpp
@@ -20,8 +20,8 @@
       : secondReader(loop, [this](Peer& p, const http1::Request& r) { read(p, r, 2); }),
         secondWriter(loop, [this](Peer& p, const http1::Request& r) { write(p, r, 3); }),
         random_(GetParam()) {
-    reader.script = [this](Peer& p, const http1::Request& r) { read(p, r, 0); };
-    writer.script = [this](Peer& p, const http1::Request& r) { write(p, r, 1); };
+    prefillEngine.script = [this](Peer& p, const http1::Request& r) { read(p, r, 0); };
+    decodeEngine.script = [this](Peer& p, const http1::Request& r) { write(p, r, 1); };
     discovery.script = [this](Peer& p, const http1::Request&) { beginWatch(p); };
   }
   ~RandomLives() override { node.reset(); }
@@ -36,15 +36,15 @@
     loop.runAfter(Duration(seconds), std::move(task));
   }
 
-  void startNode() {
-    start([&](Json& json) {
+  void startNodeWithAllClasses() {
+    startNode([&](Json& json) {
       Json& settings = json["settings"];
       settings["classes"].push_back({{"aimS", 0.8},
                                      {"idempotency", "deduplicated"},
                                      {"dedupWindowS", 0.6},
                                      {"group", "all"},
                                      {"name", "note"}});
-      json["known"] = listOf(7, true, entries());
+      json["known"] = engineListJson(7, true, entries());
     });
   }
 
@@ -55,10 +55,10 @@
   };
   Json entryOf(std::size_t i) {
     static const char* const kNames[] = {"r1", "w1", "r2", "w2"};
-    const std::string addresses[] = {reader.address(), writer.address(), secondReader.address(),
+    const std::string addresses[] = {prefillEngine.address(), decodeEngine.address(), secondReader.address(),
                                      secondWriter.address()};
-    return target(kNames[i], i % 2 == 0 ? "prefill" : "decode", addresses[i],
-                  states_[i].draining ? "draining" : "up");
+    return engineJson(kNames[i], i % 2 == 0 ? "prefill" : "decode", addresses[i],
+                      states_[i].draining ? "draining" : "up");
   }
   std::vector<Json> entries() {
     std::vector<Json> all;
@@ -68,7 +68,8 @@
   void beginWatch(Peer& peer) {
     if (silent_) return;
     speaking_.push_back(shared(discovery, peer));
-    peer.send(kStreamHead + chunkOf(listOf(index_, true, entries()).dump(chance(0.3) ? 2 : -1) + "\n"));
+    peer.send(kStreamHead +
+              chunkOf(engineListJson(index_, true, entries()).dump(chance(0.3) ? 2 : -1) + "\n"));
     toldAll();
   }
   void toldAll() {
@@ -84,7 +85,7 @@
     ++index_;
     for (const auto& peer : speaking_) {
       if (peer->closed) continue;
-      peer->send(chunkOf(listOf(index_, false, {entryOf(i)}).dump() + "\n"));
+      peer->send(chunkOf(engineListJson(index_, false, {entryOf(i)}).dump() + "\n"));
       if (state.draining) state.toldAt = std::min(state.toldAt, clock());
     }
   }
@@ -107,14 +108,14 @@
   }
 
   // ---- Engines ----
-  std::shared_ptr<Peer> shared(Scripted& engine, const Peer& peer) {
+  std::shared_ptr<Peer> shared(ScriptedServer& engine, const Peer& peer) {
     for (const auto& p : engine.peers) {
       if (p.get() == &peer) return p;
     }
     return nullptr;
   }
-  Scripted& engineAt(std::size_t i) {
-    Scripted* const all[] = {&reader, &writer, &secondReader, &secondWriter};
+  ScriptedServer& engineAt(std::size_t i) {
+    ScriptedServer* const all[] = {&prefillEngine, &decodeEngine, &secondReader, &secondWriter};
     return *all[i];
   }
   // An attempt as its engine has it, until either side ends it.
@@ -124,8 +125,8 @@
     bool over = false, stateStays = true;
   };
   bool takeRelease(Peer& peer, const http1::Request& request) {
-    if (!released(peer, request)) return false;
-    audit.released(request.target.substr(request.target.rfind('/') + 1));
+    if (!answerRelease(peer, request)) return false;
+    audit.onRelease(request.target.substr(request.target.rfind('/') + 1));
     return true;
   }
   std::shared_ptr<Work> arrived(Peer& peer, const http1::Request& request, std::size_t engine) {
@@ -139,13 +140,13 @@
         earlier->peer->connection.readNow();
     }
     noticeCallOffs();
-    audit.attemptArrived(work->id, engine % 2 == 1, states_[engine].toldAt, clock());
+    audit.onAttemptReceived(work->id, engine % 2 == 1, states_[engine].toldAt, clock());
     works_.push_back(work);
     return work;
   }
   void endWork(Work& work, bool stateStays) {
     if (std::exchange(work.over, true)) return;
-    audit.attemptEnded(work.id, stateStays, clock());
+    audit.onAttemptEnded(work.id, stateStays, clock());
   }
   bool alive(const Work& work) const { return !work.over && !work.peer->closed; }
   void breakOff(Work& work, bool reset) {
@@ -165,7 +166,7 @@
       if (!alive(*work)) return;
       if (kind < 26) {
         endWork(*work, false);
-        audit.stateLeft(work->id, clock());
+        audit.onStateCreated(work->id, clock());
         work->peer->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
       } else if (kind == 26) {
         turnAway(*work, 503);
@@ -184,7 +185,7 @@
     if (takeRelease(peer, request)) return;
     const auto work = arrived(peer, request, engine);
     const std::size_t kind = chance(0.7) ? 4 + oneOf(4) : oneOf(14);
-    if (kind != 8 && kind != 9) audit.mayRun(work->id, clock());
+    if (kind != 8 && kind != 9) audit.onPossibleExecution(work->id, clock());
     later(chance(0.5) ? 0 : between(0, 0.4), [this, work, kind] {
       if (!alive(*work)) return;
       if (kind < 8) {
@@ -202,7 +203,7 @@
   void writeEvents(const std::shared_ptr<Work>& work, int left, std::size_t kind) {
     if (!alive(*work)) return;
     if (left > 0) {
-      audit.eventWritten(work->id, clock());
+      audit.onEventSent(work->id, clock());
       work->peer->send(chunkOf(eventOf("t" + std::to_string(left))));
       return later(between(0, 0.4), [=, this] { writeEvents(work, left - 1, kind); });
     }
@@ -240,10 +241,10 @@
     asking.id = "q" + std::to_string(++asked_);
     const int budget = 200 + static_cast<int>(oneOf(2500));
     asking.deadline = clock() + budget / 1000.0;
-    audit.asked(asking.id, effect, asking.deadline);
+    audit.onRequest(asking.id, effect, asking.deadline);
     asking.peer = client();
     if (chance(0.25)) asking.leavesAt = clock() + between(0, 1);
-    asking.peer->send(PlatformTest::ask(asking.id, "", name, std::to_string(budget)));
+    asking.peer->send(PlatformTest::chatRequest(asking.id, "", name, std::to_string(budget)));
     askings_.push_back(std::move(asking));
   }
   void lookAtClients() {
@@ -251,36 +252,37 @@
       if (a.over) continue;
       if (clock() >= a.leavesAt) {
         chance(0.5) ? a.peer->connection.close() : a.peer->connection.abort();
-        audit.left(a.id, clock());
+        audit.onClientDisconnected(a.id, clock());
         a.over = true;
         continue;
       }
-      const std::string& got = a.peer->got;
-      if (audit.life(a.id).answeredAt < 0 && a.peer->has("\r\n\r\n"))
-        audit.answered(a.id, std::stoi(got.substr(9, 3)), clock());
+      const std::string& got = a.peer->received;
+      if (audit.history(a.id).respondedAt < 0 && a.peer->hasReceived("\r\n\r\n"))
+        audit.onFinalResponse(a.id, std::stoi(got.substr(9, 3)), clock());
       // A connection that the node refused while it ends is an answer as well: ask again elsewhere.
-      if (audit.life(a.id).answeredAt < 0 && a.peer->closed) audit.answered(a.id, 0, clock());
+      if (audit.history(a.id).respondedAt < 0 && a.peer->closed) audit.onFinalResponse(a.id, 0, clock());
       std::size_t events = 0;
       for (std::size_t at = 0; (at = got.find("{\"content\":\"t", at)) != std::string::npos; ++at) ++events;
-      audit.eventsReached(a.id, events, clock());
-      a.over = a.peer->closed || a.peer->has("\r\n0\r\n\r\n") || audit.life(a.id).status >= 400;
+      audit.onEventsReceived(a.id, events, clock());
+      a.over = a.peer->closed || a.peer->hasReceived("\r\n0\r\n\r\n") || audit.history(a.id).status >= 400;
       EXPECT_EQ(got.find("stray"), std::string::npos) << a.id;
     }
     std::erase_if(askings_, [&](const Asking& a) {
       const bool over = a.over && clock() > a.deadline + 1;  // what else comes would have come by now
-      if (over && a.peer->got.find("HTTP/1.1 ", 1) != std::string::npos) ADD_FAILURE() << a.id << " twice";
+      if (over && a.peer->received.find("HTTP/1.1 ", 1) != std::string::npos)
+        ADD_FAILURE() << a.id << " twice";
       return over;
     });
   }
 
   void step() {
-    pass(kTick.count());
+    advance(kTick.count());
     noticeCallOffs();
     lookAtClients();
     audit.check(clock());
   }
 
-  Scripted secondReader, secondWriter;
+  ScriptedServer secondReader, secondWriter;
   RuleAudit audit{RuleLimits{}};
   std::vector<Asking> askings_;
 
@@ -295,11 +297,11 @@
 };
 
 TEST_P(RandomLives, KeepTheRulesAfterEachStep) {
-  startNode();
+  startNodeWithAllClasses();
   emptyLines();
   const double ends = clock() + kPlayed;
   bool done = false;
-  while (clock() < ends && audit.breaks().empty()) {
+  while (clock() < ends && audit.violations().empty()) {
     if (chance(0.15)) ask();
     if (chance(0.003)) changeEngine();
     if (chance(0.002)) troubleWatches();
@@ -307,15 +309,16 @@
   }
   node->drain([&] { done = true; });
   const double drainedBy = clock() + 30;
-  while (!done && clock() < drainedBy && audit.breaks().empty()) {
+  while (!done && clock() < drainedBy && audit.violations().empty()) {
     if (chance(0.02)) ask();
     step();
   }
-  for (const std::string& broken : audit.breaks()) ADD_FAILURE() << "seed " << GetParam() << ": " << broken;
-  EXPECT_TRUE(done) << "seed " << GetParam() << ": " << node->account();
+  for (const std::string& broken : audit.violations())
+    ADD_FAILURE() << "seed " << GetParam() << ": " << broken;
+  EXPECT_TRUE(done) << "seed " << GetParam() << ": " << node->statisticsLine();
   EXPECT_EQ(node->core().pendingObligations(), 0U);
-  EXPECT_EQ(node->engines().open(), 0U);
-  EXPECT_EQ(node->engines().auxiliaryCalls(), 0U);
+  EXPECT_EQ(node->engineClient().openCallCount(), 0U);
+  EXPECT_EQ(node->engineClient().auxiliaryCalls(), 0U);
   EXPECT_GT(node->core().counters().served, 5U);  // it is no idle day
 }
 
--- a/tests/releases_test.cpp
+++ b/tests/releases_test.cpp
@@ -12,26 +12,26 @@
  protected:
   // Engines beside the two of the fixture; all of them silent while `silent` is set.
   void startWith(int others, const std::function<void(Json&)>& change = nullptr) {
-    std::vector<Json> entries = {target("r1", "prefill", reader.address()),
-                                 target("w1", "decode", writer.address())};
-    reader.script = writer.script = script;
+    std::vector<Json> entries = {engineJson("r1", "prefill", prefillEngine.address()),
+                                 engineJson("w1", "decode", decodeEngine.address())};
+    prefillEngine.script = decodeEngine.script = script;
     for (int i = 0; i < others; ++i) {
       more.emplace_back(loop, script);
-      entries.push_back(target("r" + std::to_string(i + 2), "prefill", more.back().address()));
+      entries.push_back(engineJson("r" + std::to_string(i + 2), "prefill", more.back().address()));
     }
-    start([&](Json& json) {
-      json["known"] = listOf(7, true, entries);
+    startNode([&](Json& json) {
+      json["known"] = engineListJson(7, true, entries);
       if (change) change(json);
     });
   }
 
-  const Scripted::Script script = [this](Peer& peer, const http1::Request& request) {
+  const ScriptedServer::Script script = [this](Peer& peer, const http1::Request& request) {
     if (silent) return;
     if (request.method == "DELETE") ++taken;
-    answerRead(peer, request);
+    answerPrefill(peer, request);
   };
 
-  std::list<Scripted> more;
+  std::list<ScriptedServer> more;
   bool silent = false;
   int taken = 0;  // releases that an engine has answered
 };
@@ -39,33 +39,33 @@
 TEST_F(ReleasesTest, AReleaseIsNotGivenUpWhileAllEnginesAreSilent) {
   silent = true;
   startWith(2);
-  const auto peer = asks(ask("held"));
-  ASSERT_TRUE(within(1, [&] { return node->core().openRequests() == 1; }));
-  pass(0.1);
+  const auto peer = sendFromNewClient(chatRequest("held"));
+  ASSERT_TRUE(happensWithin(1, [&] { return node->core().openRequests() == 1; }));
+  advance(0.1);
   peer->connection.close();
-  pass(6);
+  advance(6);
   EXPECT_EQ(taken, 0);
   silent = false;
-  EXPECT_TRUE(within(0.3, [&] { return taken > 0; }));
-  EXPECT_EQ(node->engines().auxiliaryCalls(), 0U);
+  EXPECT_TRUE(happensWithin(0.3, [&] { return taken > 0; }));
+  EXPECT_EQ(node->engineClient().auxiliaryCalls(), 0U);
 }
 
 // An engine that is off the list may run on, and takes a release as well as any other; it comes last.
 TEST_F(ReleasesTest, AnEngineOffTheListIsAskedWhereNoOtherAnswers) {
   std::vector<bool> offTheList;  // of the engines asked, in turn
-  Scripted onTheList(loop, [&](Peer&, const http1::Request&) { offTheList.push_back(false); });
-  Scripted removed(loop, [&](Peer& peer, const http1::Request&) {
+  ScriptedServer onTheList(loop, [&](Peer&, const http1::Request&) { offTheList.push_back(false); });
+  ScriptedServer removed(loop, [&](Peer& peer, const http1::Request&) {
     offTheList.push_back(true);
     peer.send("HTTP/1.1 204 No Content\r\n\r\n");
   });
   http1::Client calls(loop, {});
   EngineTable engines;
   engines[EngineId{1}].address = *net::parseEndpoint(removed.address());
-  engines[EngineId{1}].gone = true;
+  engines[EngineId{1}].removed = true;
   engines[EngineId{2}].address = *net::parseEndpoint(onTheList.address());
-  Releases releases(loop, calls, engines, [](EngineId) {});
-  releases.begin("a");
-  EXPECT_TRUE(within(0.5, [&] { return releases.pending() == 0; }));
+  ReleaseDispatcher releases(loop, calls, engines, [](EngineId) {});
+  releases.startRelease("a");
+  EXPECT_TRUE(happensWithin(0.5, [&] { return releases.pending() == 0; }));
   EXPECT_EQ(offTheList, (std::vector<bool>{false, true}));
 }
 
@@ -73,22 +73,22 @@
 TEST_F(ReleasesTest, ManyReleasesAtOnceReachTheEngineOffTheListThatRuns) {
   constexpr int kReleases = 40, kSilent = 7;
   std::set<std::string> reached;
-  Scripted removed(loop, [&](Peer& peer, const http1::Request& request) {
+  ScriptedServer removed(loop, [&](Peer& peer, const http1::Request& request) {
     reached.insert(request.target);
     peer.send("HTTP/1.1 204 No Content\r\n\r\n");
   });
-  std::list<Scripted> silentOnes;
+  std::list<ScriptedServer> silentOnes;
   http1::Client calls(loop, {});
   EngineTable engines;
   engines[EngineId{99}].address = *net::parseEndpoint(removed.address());
-  engines[EngineId{99}].gone = true;
+  engines[EngineId{99}].removed = true;
   for (std::uint32_t id = 1; id <= kSilent; ++id) {
     silentOnes.emplace_back(loop, [](Peer&, const http1::Request&) {});
     engines[EngineId{id}].address = *net::parseEndpoint(silentOnes.back().address());
   }
-  Releases releases(loop, calls, engines, [](EngineId) {});
-  for (int i = 0; i < kReleases; ++i) releases.begin("r" + std::to_string(i));
-  EXPECT_TRUE(within(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
+  ReleaseDispatcher releases(loop, calls, engines, [](EngineId) {});
+  for (int i = 0; i < kReleases; ++i) releases.startRelease("r" + std::to_string(i));
+  EXPECT_TRUE(happensWithin(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
 }
 
 // Many releases at once and one engine that answers, late: the calls to silent engines do not keep it from
@@ -97,57 +97,58 @@
   constexpr int kReleases = 40, kSilent = 7;
   const Duration kAnswersAfter{0.3};
   std::set<std::string> reached;
-  Scripted slow(loop, [&](Peer& peer, const http1::Request& request) {
+  ScriptedServer slow(loop, [&](Peer& peer, const http1::Request& request) {
     reached.insert(request.target);
     loop.runAfter(kAnswersAfter, [&peer] { peer.send("HTTP/1.1 204 No Content\r\n\r\n"); });
   });
-  std::list<Scripted> silentOnes;
+  std::list<ScriptedServer> silentOnes;
   http1::Client calls(loop, {});
   EngineTable engines;
   engines[EngineId{99}].address = *net::parseEndpoint(slow.address());
   for (std::uint32_t id = 1; id <= kSilent; ++id) {
     silentOnes.emplace_back(loop, [](Peer&, const http1::Request&) {});
     engines[EngineId{id}].address = *net::parseEndpoint(silentOnes.back().address());
-    engines[EngineId{id}].heardAt = loop.now();  // more likely to be there
+    engines[EngineId{id}].lastHeardAt = loop.now();  // more likely to be there
   }
-  Releases releases(loop, calls, engines, [](EngineId) {});
-  releases.takePinLimit(Duration(0.3));
-  for (int i = 0; i < kReleases; ++i) releases.begin("r" + std::to_string(i));
-  EXPECT_TRUE(within(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
-  EXPECT_TRUE(within(0.5, [&] { return releases.pending() == 0; }));
+  ReleaseDispatcher releases(loop, calls, engines, [](EngineId) {});
+  releases.setStateLeaseLimit(Duration(0.3));
+  for (int i = 0; i < kReleases; ++i) releases.startRelease("r" + std::to_string(i));
+  EXPECT_TRUE(happensWithin(0.5, [&] { return reached.size() == kReleases; })) << reached.size();
+  EXPECT_TRUE(happensWithin(0.5, [&] { return releases.pending() == 0; }));
 }
 
 // Without an engine none is taken: what is pending is bounded, and a repeat adds nothing to it.
 TEST_F(ReleasesTest, WhatIsPendingIsBoundedAndARepeatAddsNothing) {
   http1::Client calls(loop, {});
   const EngineTable none;
-  Releases releases(loop, calls, none, [](EngineId) {});
-  for (std::size_t i = 0; i <= Releases::kMostPending; ++i) releases.begin("r" + std::to_string(i));
-  EXPECT_EQ(releases.pending(), Releases::kMostPending);
-  EXPECT_EQ(releases.counts().givenUp, 1U);
-  releases.begin("r7");
-  EXPECT_EQ(releases.pending(), Releases::kMostPending);
-  EXPECT_EQ(releases.counts().givenUp, 1U);
+  ReleaseDispatcher releases(loop, calls, none, [](EngineId) {});
+  for (std::size_t i = 0; i <= ReleaseDispatcher::kMaxPending; ++i)
+    releases.startRelease("r" + std::to_string(i));
+  EXPECT_EQ(releases.pending(), ReleaseDispatcher::kMaxPending);
+  EXPECT_EQ(releases.counters().abandoned, 1U);
+  releases.startRelease("r7");
+  EXPECT_EQ(releases.pending(), ReleaseDispatcher::kMaxPending);
+  EXPECT_EQ(releases.counters().abandoned, 1U);
 }
 
 // The first call may have come before what it was to release: only one sent after the repeat ends it.
 TEST_F(ReleasesTest, ACallFromBeforeARepeatDoesNotEndIt) {
   std::vector<Peer*> asked;
-  reader.script = [&](Peer& peer, const http1::Request&) { asked.push_back(&peer); };
+  prefillEngine.script = [&](Peer& peer, const http1::Request&) { asked.push_back(&peer); };
   http1::Client calls(loop, {});
   EngineTable engines;
-  engines[EngineId{1}].address = *net::parseEndpoint(reader.address());
-  Releases releases(loop, calls, engines, [](EngineId) {});
-  releases.begin("a");
-  ASSERT_TRUE(within(0.1, [&] { return asked.size() == 1; }));
-  pass(0.01);
-  releases.begin("a");
+  engines[EngineId{1}].address = *net::parseEndpoint(prefillEngine.address());
+  ReleaseDispatcher releases(loop, calls, engines, [](EngineId) {});
+  releases.startRelease("a");
+  ASSERT_TRUE(happensWithin(0.1, [&] { return asked.size() == 1; }));
+  advance(0.01);
+  releases.startRelease("a");
   asked.front()->send("HTTP/1.1 204 No Content\r\n\r\n");
-  pass(0.01);
+  advance(0.01);
   EXPECT_EQ(releases.pending(), 1U);
-  ASSERT_TRUE(within(0.2, [&] { return asked.size() >= 2; }));
+  ASSERT_TRUE(happensWithin(0.2, [&] { return asked.size() >= 2; }));
   asked.back()->send("HTTP/1.1 204 No Content\r\n\r\n");
-  pass(0.01);
+  advance(0.01);
   EXPECT_EQ(releases.pending(), 0U);
 }
 
--- a/tests/stepped_time.h
+++ b/tests/stepped_time.h
@@ -25,7 +25,7 @@
   RawSocket& operator=(const RawSocket&) = delete;
 
   // To be called before connect().
-  void receiveLittle() {
+  void shrinkReceiveBuffer() {
     const int bytes = 4096;
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
   }
@@ -77,7 +77,7 @@
 
 // Lets the other end of a connection, which is in this process too, keep only little in the kernel: what is
 // more stays in its own buffer.
-inline void sendLittleTowards(const RawSocket& socket) {
+inline void shrinkSendBufferOfPeer(const RawSocket& socket) {
   sockaddr_in mine{};
   socklen_t size = sizeof mine;
   getsockname(socket.fd(), reinterpret_cast<sockaddr*>(&mine), &size);
@@ -91,9 +91,9 @@
 }
 
 // A port whose connections do not come up: its queue is full, so that the kernel leaves each try unanswered.
-class PortThatNeverComesUp {
+class UnresponsivePort {
  public:
-  PortThatNeverComesUp() {
+  UnresponsivePort() {
     sockaddr_in address = RawSocket::loopback(0);
     socklen_t size = sizeof address;
     ::bind(listener_.fd(), reinterpret_cast<const sockaddr*>(&address), size);
@@ -142,59 +142,60 @@
 
   Instant now() const { return *time_; }
   // All that can happen without time going by.
-  void settle() {
+  void runUntilIdle() {
     for (int quiet = 0; quiet < 2;) {
       const bool busy = loop.runOnce(Duration(0));
       barrier_.pass();
       quiet = busy ? 0 : quiet + 1;
     }
   }
-  void pass(double seconds) {
+  void advance(double seconds) {
     const Instant end = now() + Duration(seconds);
     while (now() < end) {
       *time_ = std::min(end, now() + kTick);
-      settle();
+      runUntilIdle();
     }
   }
   // What was sent before has been delivered, though no event has told of it.
-  void deliver() { barrier_.pass(); }
+  void deliverSentBytes() { barrier_.pass(); }
   // The machine stands still in the middle of an iteration.
-  void holdUp(double seconds) { *time_ = now() + Duration(seconds); }
+  void stall(double seconds) { *time_ = now() + Duration(seconds); }
   // Lets time go by until it is so; false where it is not within the time.
-  bool within(double seconds, const std::function<bool()>& done) {
+  bool happensWithin(double seconds, const std::function<bool()>& done) {
     const Instant end = now() + Duration(seconds);
-    settle();
+    runUntilIdle();
     while (!done() && now() < end) {
       *time_ = now() + kTick;
-      settle();
+      runUntilIdle();
     }
     return done();
   }
 
   static constexpr Duration kTick{0.005};
 
-  std::size_t attempts(const Scripted& engine) const {
+  std::size_t attemptCount(const ScriptedServer& engine) const {
     return engine.count("POST", "/v1/chat/completions?x=1");
   }
-  std::size_t releases(const std::string& id) const {
-    return reader.count("DELETE", "/kv/leases/" + id) + writer.count("DELETE", "/kv/leases/" + id);
+  std::size_t releaseCount(const std::string& id) const {
+    return prefillEngine.count("DELETE", "/kv/leases/" + id) +
+           decodeEngine.count("DELETE", "/kv/leases/" + id);
   }
-  static void hold(Peer& peer, const http1::Request& request) { released(peer, request); }
+  static void leaveUnanswered(Peer& peer, const http1::Request& request) { answerRelease(peer, request); }
   // The newest connection to discovery that is still open.
-  std::shared_ptr<Peer> watch() const {
+  std::shared_ptr<Peer> openWatch() const {
     std::shared_ptr<Peer> open;
     for (const auto& peer : discovery.peers) {
       if (!peer->closed) open = peer;
     }
     return open;
   }
-  void tell(std::uint64_t index, const std::string& readerIs, const std::string& writerIs) {
-    watch()->send(chunkOf(listOf(index, false,
-                                 {target("r1", "prefill", reader.address(), readerIs),
-                                  target("w1", "decode", writer.address(), writerIs)})
-                              .dump() +
-                          "\n"));
-    settle();
+  void announceEngineStates(std::uint64_t index, const std::string& readerIs, const std::string& writerIs) {
+    openWatch()->send(chunkOf(engineListJson(index, false,
+                                             {engineJson("r1", "prefill", prefillEngine.address(), readerIs),
+                                              engineJson("w1", "decode", decodeEngine.address(), writerIs)})
+                                  .dump() +
+                              "\n"));
+    runUntilIdle();
   }
 
  private:
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -11,22 +11,22 @@
  protected:
   // Starts a node whose writer answers with `bytes`, and asks once.
   std::shared_ptr<Peer> streamBegins(const std::string& bytes) {
-    writer.script = [bytes](Peer& peer, const http1::Request& request) {
-      if (!released(peer, request)) peer.send(bytes);
+    decodeEngine.script = [bytes](Peer& peer, const http1::Request& request) {
+      if (!answerRelease(peer, request)) peer.send(bytes);
     };
-    start();
-    const auto peer = asks(ask("stream"));
-    EXPECT_TRUE(within(1, [&] { return attempts(writer) == 1; }));
-    settle();
+    startNode();
+    const auto peer = sendFromNewClient(chatRequest("stream"));
+    EXPECT_TRUE(happensWithin(1, [&] { return attemptCount(decodeEngine) == 1; }));
+    runUntilIdle();
     return peer;
   }
-  Peer& writing() { return *writer.peers.back(); }
+  Peer& writing() { return *decodeEngine.peers.back(); }
   // Sends one piece every 0.2 s until the client's connection has ended; how long that took.
   double trickledUntilClosed(const std::shared_ptr<Peer>& peer, const std::string& piece) {
     const Instant from = now();
     while (!peer->closed && now() - from < Duration(30)) {
       if (!writing().closed) writing().send(piece);
-      pass(0.2);
+      advance(0.2);
     }
     return (now() - from).count();
   }
@@ -49,73 +49,73 @@
     if (i % 3 == 0) writing().send(chunkOf(event));
     if (i % 3 == 1) {
       writing().send(chunkOf(first));
-      settle();
-      EXPECT_EQ(bodyOf(peer->got), sent);  // half an event is not passed on
+      runUntilIdle();
+      EXPECT_EQ(bodyOf(peer->received), sent);  // half an event is not passed on
       writing().send(chunkOf(second));
     }
     if (i % 3 == 2) {
       const std::string chunk = chunkOf(event);
       writing().send(chunk.substr(0, 7));
-      settle();
+      runUntilIdle();
       writing().send(chunk.substr(7));
     }
     sent += event;
-    settle();
-    EXPECT_EQ(bodyOf(peer->got), sent) << i;  // no time has gone by
+    runUntilIdle();
+    EXPECT_EQ(bodyOf(peer->received), sent) << i;  // no time has gone by
   }
   std::string many;
   for (int i = 0; i < 50; ++i) many += chunkOf(eventOf("m" + std::to_string(i)));
-  const std::size_t before = peer->got.size();
+  const std::size_t before = peer->received.size();
   writing().send(many);
-  settle();
-  EXPECT_EQ(peer->got.substr(before), many);  // one by one, in one segment
+  runUntilIdle();
+  EXPECT_EQ(peer->received.substr(before), many);  // one by one, in one segment
 }
 
 TEST_F(StreamEndingsTest, LinesMayEndAsTheyDoInTheField) {
   const std::string event = "data: {\"content\":\"a\"}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   const auto peer = streamBegins(kStreamHead + chunkOf(event));
-  EXPECT_EQ(bodyOf(peer->got), event);
+  EXPECT_EQ(bodyOf(peer->received), event);
   writing().send(chunkOf(last) + "0\r\n\r\n");
-  settle();
-  EXPECT_EQ(bodyOf(peer->got), event + last);
-  EXPECT_TRUE(peer->has("\r\n0\r\n\r\n"));
+  runUntilIdle();
+  EXPECT_EQ(bodyOf(peer->received), event + last);
+  EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, TheTailOfAFinishedStreamSurvivesADrainARemovalAndAReset) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")));
-  tell(8, "up", "draining");
-  tell(9, "up", "removed");
-  pass(3);
+  announceEngineStates(8, "up", "draining");
+  announceEngineStates(9, "up", "removed");
+  advance(3);
   writing().send(chunkOf(eventOf("b")));
-  pass(3);
+  advance(3);
   writing().send(chunkOf(kDone) + "0\r\n\r\n");
   writing().connection.abort();
-  settle();
-  EXPECT_EQ(bodyOf(peer->got), eventOf("a") + eventOf("b") + kDone);
-  EXPECT_TRUE(peer->has("\r\n0\r\n\r\n"));
+  runUntilIdle();
+  EXPECT_EQ(bodyOf(peer->received), eventOf("a") + eventOf("b") + kDone);
+  EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, WhatASlowClientHasNotReadIsWrittenOutAfterTheEngineHasGone) {
   std::string whole = kStreamHead;
   for (int i = 0; i < 20; ++i) whole += chunkOf(eventOf(std::string(8000, 'z')));
-  writer.script = [&](Peer& peer, const http1::Request& request) {
-    if (!released(peer, request)) peer.send(whole + chunkOf(kDone) + "0\r\n\r\n");
+  decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) peer.send(whole + chunkOf(kDone) + "0\r\n\r\n");
   };
-  start();
+  startNode();
   RawSocket slow;
-  slow.receiveLittle();
+  slow.shrinkReceiveBuffer();
   ASSERT_TRUE(slow.connect(node->port()));
-  settle();
-  sendLittleTowards(slow);
-  slow.send(ask("slow"));
-  pass(0.1);
+  runUntilIdle();
+  shrinkSendBufferOfPeer(slow);
+  slow.send(chatRequest("slow"));
+  advance(0.1);
   ASSERT_EQ(writing().connection.pendingBytes(), 0U);
   writing().connection.close();
-  pass(1);
+  advance(1);
   std::string got;
   for (int i = 0; i < 2000 && got.find("\r\n0\r\n\r\n") == std::string::npos; ++i) {
     got += slow.receive();
-    pass(0.005);
+    advance(0.005);
   }
   EXPECT_NE(got.find("\r\n0\r\n\r\n"), std::string::npos);
   EXPECT_EQ(node->core().counters().served, 1U);
@@ -125,31 +125,31 @@
 TEST_F(StreamEndingsTest, AnEventThatNeverEndsEndsTheStreamThoughItKeepsComing) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")) + chunkOf("data: "));
   EXPECT_LT(trickledUntilClosed(peer, chunkOf("x")), 5);
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, ACommentThatNeverEndsEndsTheStreamThoughItKeepsComing) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")) + chunkOf(": "));
   EXPECT_LT(trickledUntilClosed(peer, chunkOf("x")), 5);
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, AChunkThatNeverEndsEndsTheStreamThoughItKeepsComing) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")) + "20000\r\ndata: ");
   EXPECT_LT(trickledUntilClosed(peer, "x"), 5);
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, TrailersThatNeverEndEndTheStreamThoughTheyKeepComing) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a") + kDone) + "0\r\n");
   EXPECT_LT(trickledUntilClosed(peer, "X: y\r\n"), 5);
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, ALastEventWithoutTheLastChunkIsNotWaitedForLong) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")) + chunkOf(kDone));
-  EXPECT_TRUE(within(5, [&] { return peer->closed; }));
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_TRUE(happensWithin(5, [&] { return peer->closed; }));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, AStreamWhosePiecesNeverAlignWithItsReadsGoesOn) {
@@ -160,31 +160,31 @@
     const std::string chunk = chunkOf(eventOf("n" + std::to_string(i)));
     writing().send(ahead + chunk.substr(0, 8));
     ahead = chunk.substr(8);
-    pass(0.1);
+    advance(0.1);
   }
   writing().send(ahead + chunkOf(kDone) + "0\r\n\r\n");
-  settle();
-  EXPECT_TRUE(peer->has("\r\n0\r\n\r\n"));
-  EXPECT_TRUE(peer->has("n59"));
+  runUntilIdle();
+  EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
+  EXPECT_TRUE(peer->hasReceived("n59"));
 }
 
 TEST_F(StreamEndingsTest, AnEngineThatPausesBetweenEventsKeepsItsStreamForAWhile) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")));
   for (int i = 0; i < 5; ++i) {
-    pass(3.5);
+    advance(3.5);
     EXPECT_FALSE(peer->closed);
     writing().send(chunkOf(eventOf("b")));
   }
   writing().send(chunkOf(kDone) + "0\r\n\r\n");
-  settle();
-  EXPECT_TRUE(peer->has("\r\n0\r\n\r\n"));
+  runUntilIdle();
+  EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 // A hung engine, listed or not: its client is not left waiting for 5 s after the last event.
 TEST_F(StreamEndingsTest, AStreamThatHasStoppedIsEndedInTime) {
   const auto peer = streamBegins(kStreamHead + chunkOf(eventOf("a")));
-  EXPECT_TRUE(within(5, [&] { return peer->closed; }));
-  EXPECT_FALSE(peer->has("\r\n0\r\n\r\n"));
+  EXPECT_TRUE(happensWithin(5, [&] { return peer->closed; }));
+  EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
 
 TEST_F(StreamEndingsTest, AStatusThatEndsItsAttemptIsNotWaitedForInFull) {
@@ -192,38 +192,38 @@
       "HTTP/1.1 500 Internal\r\n\r\n", "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\nhalf",
       "HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nTransfer-Encoding: chunked\r\n\r\n"};
   for (const std::string& answer : answers) {
-    std::size_t before = attempts(writer);
+    std::size_t before = attemptCount(decodeEngine);
     bool failed = false;
-    writer.script = [&](Peer& peer, const http1::Request& request) {
-      if (released(peer, request)) return;
-      peer.send(std::exchange(failed, true) ? wholeStream() : answer);
+    decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
+      if (answerRelease(peer, request)) return;
+      peer.send(std::exchange(failed, true) ? completeStream() : answer);
     };
-    start();
-    const auto peer = asks(ask("again"));
-    EXPECT_TRUE(within(0.5, [&] { return peer->has("\r\n0\r\n\r\n"); })) << answer;
-    EXPECT_GE(attempts(writer), before + 2) << answer;
+    startNode();
+    const auto peer = sendFromNewClient(chatRequest("again"));
+    EXPECT_TRUE(happensWithin(0.5, [&] { return peer->hasReceived("\r\n0\r\n\r\n"); })) << answer;
+    EXPECT_GE(attemptCount(decodeEngine), before + 2) << answer;
     node.reset();
-    settle();
+    runUntilIdle();
   }
 }
 
 TEST_F(StreamEndingsTest, AHeadThatNeverEndsIsAnAttemptThatMayHaveRun) {
   const auto peer = [&] {
-    writer.script = [](Peer& p, const http1::Request& request) {
-      if (!released(p, request)) p.send("HTTP/1.1 200 OK\r\n");
+    decodeEngine.script = [](Peer& p, const http1::Request& request) {
+      if (!answerRelease(p, request)) p.send("HTTP/1.1 200 OK\r\n");
     };
-    start();
-    const auto asked = asks(ask("once", "", "pay", "9000"));
-    EXPECT_TRUE(within(1, [&] { return attempts(writer) == 1; }));
+    startNode();
+    const auto asked = sendFromNewClient(chatRequest("once", "", "pay", "9000"));
+    EXPECT_TRUE(happensWithin(1, [&] { return attemptCount(decodeEngine) == 1; }));
     return asked;
   }();
   const Instant from = now();
-  while (!peer->has("HTTP/1.1") && now() - from < Duration(20)) {
+  while (!peer->hasReceived("HTTP/1.1") && now() - from < Duration(20)) {
     if (!writing().closed) writing().send("X: y\r\n");
-    pass(0.2);
+    advance(0.2);
   }
   EXPECT_EQ(statusOf(peer), 502);  // at most once: not sent again, and not refused
-  EXPECT_EQ(attempts(writer), 1U);
+  EXPECT_EQ(attemptCount(decodeEngine), 1U);
 }
 
 // ---- Floods ----
@@ -234,10 +234,10 @@
     exchange->respond(200, "", std::string(400, 'x'));
   });
   RawSocket flood;
-  flood.receiveLittle();
+  flood.shrinkReceiveBuffer();
   ASSERT_TRUE(flood.connect(server.port()));
-  settle();
-  sendLittleTowards(flood);
+  runUntilIdle();
+  shrinkSendBufferOfPeer(flood);
   const std::string command = "GET / HTTP/1.1\r\n\r\n";
   constexpr std::size_t kCommands = 4000;
   std::string commands;
@@ -247,7 +247,7 @@
     const std::size_t more = flood.send(std::string_view(commands).substr(sent));
     if (more == 0) break;
     sent += more;
-    pass(0.005);
+    advance(0.005);
     EXPECT_LE(server.unsentBytes(), 2 * net::Connection::kWatermark);
   }
   ASSERT_LT(served, kCommands / 4);  // the others wait until it reads
@@ -255,7 +255,7 @@
   for (int i = 0; i < 20000 && served < kCommands; ++i) {
     got = flood.receive();
     if (sent < commands.size()) sent += flood.send(std::string_view(commands).substr(sent));
-    pass(0.005);
+    advance(0.005);
   }
   EXPECT_EQ(served, kCommands);
 }
@@ -275,7 +275,7 @@
   std::size_t sent = 0;
   for (int i = 0; i < 20000 && served < kCommands && !flood.ended(); ++i) {
     if (sent < commands.size()) sent += flood.send(std::string_view(commands).substr(sent));
-    pass(0.005);
+    advance(0.005);
     got += flood.receive();
   }
   EXPECT_EQ(served, kCommands);
@@ -297,7 +297,7 @@
     connection->adopt(fd);
   });
   ASSERT_TRUE(flood.connect(listener.port()));
-  settle();
+  runUntilIdle();
   const std::string bytes(1 << 20, 'f');
   std::size_t sent = 0;
   for (int i = 0; i < 100; ++i) sent += flood.send(bytes);
@@ -306,21 +306,21 @@
   EXPECT_LE(owner.got, net::Connection::kReadBudget);
   EXPECT_GT(owner.got, 0U);
   flood.close();
-  pass(1);
+  advance(1);
   EXPECT_EQ(owner.got, sent);  // and nothing of it is lost
   EXPECT_TRUE(owner.closed);
 }
 
 // All events of a stream go on, also a last one that its end has cut short of its empty line.
 TEST_F(StreamEndingsTest, ALastEventWithoutItsEmptyLineIsPassedOn) {
-  writer.script = [](Peer& peer, const http1::Request& request) {
-    if (!released(peer, request))
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request))
       peer.send(kStreamHead + chunkOf(eventOf("a")) + chunkOf("data: [DONE]\n") + "0\r\n\r\n");
   };
-  start();
-  const auto peer = asks(ask("cut-short"));
-  ASSERT_TRUE(within(1, [&] { return peer->has("0\r\n\r\n"); }));
-  EXPECT_TRUE(peer->has("data: [DONE]\n"));
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("cut-short"));
+  ASSERT_TRUE(happensWithin(1, [&] { return peer->hasReceived("0\r\n\r\n"); }));
+  EXPECT_TRUE(peer->hasReceived("data: [DONE]\n"));
 }
 
 }  // namespace
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -28,7 +28,7 @@
   // A client that is outside the node's loop, so that the faults are the node's alone.
   void connectAndAsk(RawSocket& client, const std::string& id) {
     ASSERT_TRUE(client.connect(node->port()));
-    client.send(ask(id));
+    client.send(chatRequest(id));
   }
 };
 
@@ -46,13 +46,14 @@
 };
 
 TEST_F(SystemCallsTest, AnAcceptedConnectionThatCannotBeWatchedAtOnceIsAnswered) {
-  start();
-  settle();
+  startNode();
+  runUntilIdle();
   RawSocket client;
   connectAndAsk(client, "unwatched");
   fail(FaultyCall::kWatch, ENOMEM, 3);
   std::string got;
-  EXPECT_TRUE(within(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
+  EXPECT_TRUE(
+      happensWithin(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(rule(FaultyCall::kWatch).failed, 3U);
 }
@@ -66,8 +67,8 @@
   late.runOnce(Duration(0.1));  // tried once more, and taken
   late.post([] {});
   const Instant before = net::monotonicNow();
-  late.runOnce(Duration(kBound));
-  EXPECT_LT(net::monotonicNow() - before, Duration(kBound / 2)) << "the post has woken it";
+  late.runOnce(Duration(kTimeoutSeconds));
+  EXPECT_LT(net::monotonicNow() - before, Duration(kTimeoutSeconds / 2)) << "the post has woken it";
 }
 
 // What the machine lacks for a moment is told apart from a file that is not there: a start waits for it.
@@ -94,11 +95,11 @@
   fail(FaultyCall::kConnect, ECONNREFUSED, 1);
   const http1::CallId call = client.start(
       {"127.0.0.1", 1}, [] { return std::string(); }, nullptr, sink);
-  pass(0.1);
+  advance(0.1);
   EXPECT_EQ(sink->ends, 1);
   EXPECT_EQ(sink->last, http1::CallResult::kNotConnected);
   client.cancel(call);
-  pass(0.1);
+  advance(0.1);
   EXPECT_EQ(sink->ends, 1);
 }
 
@@ -108,14 +109,14 @@
   fail(FaultyCall::kConnect, ECONNREFUSED, 1);
   client.cancel(client.start(
       {"127.0.0.1", 1}, [] { return std::string(); }, nullptr, sink));
-  pass(0.1);
+  advance(0.1);
   EXPECT_EQ(sink->ends, 0);
 }
 
 // Nothing is wrong with the engines: their connections wait until this machine can open one.
 TEST_F(SystemCallsTest, ConnectionsThatThisMachineCannotOpenForAMomentAreOpenedAfterIt) {
-  start();
-  settle();
+  startNode();
+  runUntilIdle();
   const struct {
     FaultyCall call;
     int error;
@@ -123,22 +124,22 @@
                  {FaultyCall::kSocket, ENOBUFS},      {FaultyCall::kConnect, EADDRNOTAVAIL},
                  {FaultyCall::kConnect, ENETUNREACH}, {FaultyCall::kConnect, EAGAIN}};
   for (const auto& fault : kFaults) {
-    for (const auto& peer : reader.peers) peer->connection.close();
-    for (const auto& peer : writer.peers) peer->connection.close();
-    settle();
+    for (const auto& peer : prefillEngine.peers) peer->connection.close();
+    for (const auto& peer : decodeEngine.peers) peer->connection.close();
+    runUntilIdle();
     RawSocket client;
     ASSERT_TRUE(client.connect(node->port()));
-    settle();
+    runUntilIdle();
     fail(fault.call, fault.error);
-    client.send(ask("moment-" + std::to_string(fault.error)));
-    pass(0.1);
+    client.send(chatRequest("moment-" + std::to_string(fault.error)));
+    advance(0.1);
     EXPECT_GT(rule(fault.call).failed, 0U);
     heal();
     std::string got;
-    within(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
+    happensWithin(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200") << fault.error;
   }
-  EXPECT_EQ(attempts(reader), std::size(kFaults));
+  EXPECT_EQ(attemptCount(prefillEngine), std::size(kFaults));
 }
 
 // The connection goes on to come up, as after EINPROGRESS.
@@ -155,7 +156,7 @@
   client.start(
       {"127.0.0.1", ntohs(address.sin_port)}, [] { return std::string("GET / HTTP/1.1\r\n\r\n"); }, nullptr,
       sink);
-  pass(0.05);
+  advance(0.05);
   RawSocket accepted(::accept(listener.fd(), nullptr, nullptr));
   EXPECT_EQ(accepted.receive().substr(0, 3), "GET");
   EXPECT_EQ(sink->ends, 0);
@@ -172,10 +173,10 @@
     late.send("GET / HTTP/1.1\r\n\r\n");
     fail(FaultyCall::kAccept, error, 2);
     server.shutdown();
-    pass(0.5);
+    advance(0.5);
     EXPECT_EQ(late.receive().substr(0, 12), "HTTP/1.1 503") << error;
     late.close();
-    EXPECT_TRUE(within(2, [&] { return server.busyCount() == 0; })) << error;
+    EXPECT_TRUE(happensWithin(2, [&] { return server.busyCount() == 0; })) << error;
     heal();
   }
 }
--- a/tests/watch_endings_test.cpp
+++ b/tests/watch_endings_test.cpp
@@ -19,16 +19,16 @@
     };
   }
   std::string list() const {
-    return listOf(index, true,
-                  {target("r1", "prefill", reader.address()),
-                   target("w1", "decode", writer.address(), drains ? "draining" : "up")})
+    return engineListJson(index, true,
+                          {engineJson("r1", "prefill", prefillEngine.address()),
+                           engineJson("w1", "decode", decodeEngine.address(), drains ? "draining" : "up")})
                .dump(indent) +
            "\n";
   }
   // Empty lines on all open watches, as long as they are not silent.
-  void emptyLines(Scripted& from) {
+  void emptyLines(ScriptedServer& from) {
     for (const auto& peer : from.peers) {
-      if (!peer->closed && !silent && peer->got.empty()) peer->send(chunkOf("\n"));
+      if (!peer->closed && !silent && peer->received.empty()) peer->send(chunkOf("\n"));
     }
     loop.runAfter(Duration(2), [this, &from] { emptyLines(from); });
   }
@@ -38,15 +38,15 @@
     drains = true;
   }
   bool told(double seconds) {
-    return within(seconds, [&] { return node->listIndex() == index; });
+    return happensWithin(seconds, [&] { return node->listIndex() == index; });
   }
   // Once the only writer drains, requests go nowhere.
   void expectNothingGoesToTheWriter() {
-    const std::size_t before = attempts(writer);
-    const auto peer = asks(ask("probe" + std::to_string(index), "", "chat", "300"));
-    pass(0.5);
-    EXPECT_EQ(attempts(writer), before);
-    EXPECT_TRUE(peer->has("HTTP/1.1 5"));
+    const std::size_t before = attemptCount(decodeEngine);
+    const auto peer = sendFromNewClient(chatRequest("probe" + std::to_string(index), "", "chat", "300"));
+    advance(0.5);
+    EXPECT_EQ(attemptCount(decodeEngine), before);
+    EXPECT_TRUE(peer->hasReceived("HTTP/1.1 5"));
   }
   void breakWatches(bool reset) {
     for (const auto& peer : discovery.peers) {
@@ -66,28 +66,28 @@
     indent = layout;
     drains = silent = false;
     speak();
-    start();
+    startNode();
     ASSERT_TRUE(told(1));
     drainUnheard();  // the open watch says nothing from here on, new ones speak
     EXPECT_TRUE(told(kToldWithin));
     expectNothingGoesToTheWriter();
     node.reset();
-    settle();
+    runUntilIdle();
   }
 }
 
 TEST_F(WatchEndingsTest, SilentAfterThirteenSecondsOfLife) {
   speak();
-  start();
+  startNode();
   ASSERT_TRUE(told(1));
   emptyLines(discovery);
-  pass(13);
-  EXPECT_EQ(discovery.seen.size(), 1U);  // it shows life: no second one is needed
+  advance(13);
+  EXPECT_EQ(discovery.requests.size(), 1U);  // it shows life: no second one is needed
   silent = true;
   drainUnheard();
-  pass(0.1);
+  advance(0.1);
   silent = false;
-  for (const auto& peer : discovery.peers) peer->got = "silent";  // of those that are open
+  for (const auto& peer : discovery.peers) peer->received = "silent";  // of those that are open
   EXPECT_TRUE(told(kToldWithin));
   expectNothingGoesToTheWriter();
 }
@@ -96,30 +96,30 @@
   for (const bool reset : {false, true}) {
     drains = false;
     speak();
-    start();
+    startNode();
     ASSERT_TRUE(told(1));
     breakWatches(reset);
-    pass(2);
+    advance(2);
     ++index;
     drains = true;
-    ASSERT_NE(watch(), nullptr);  // it has been opened anew by now, and tells the change at once
-    watch()->send(chunkOf(list()));
+    ASSERT_NE(openWatch(), nullptr);  // it has been opened anew by now, and tells the change at once
+    openWatch()->send(chunkOf(list()));
     EXPECT_TRUE(told(0));
     expectNothingGoesToTheWriter();
     node.reset();
-    settle();
+    runUntilIdle();
   }
 }
 
 TEST_F(WatchEndingsTest, SilentAsAReloadMovesIt) {
   speak();
-  start();
+  startNode();
   ASSERT_TRUE(told(1));
   int asked = 0;
-  Scripted other(loop, [&](Peer& peer, const http1::Request&) {
+  ScriptedServer other(loop, [&](Peer& peer, const http1::Request&) {
     if (++asked > 1) peer.send(kStreamHead + chunkOf(list()));  // its first watch never speaks
   });
-  Json fresh = file();
+  Json fresh = configurationJson();
   fresh["discovery"] = other.address();
   silent = true;
   drainUnheard();
@@ -131,16 +131,17 @@
 
 TEST_F(WatchEndingsTest, TheOldAddressClosesAsAReloadMovesIt) {
   speak();
-  start();
+  startNode();
   ASSERT_TRUE(told(1));
-  Scripted other(loop, [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
+  ScriptedServer other(loop,
+                       [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
   other.listener.rejectConnections(true);
-  Json fresh = file();
+  Json fresh = configurationJson();
   fresh["discovery"] = other.address();
   node->reload(configurationOf(fresh));
   breakWatches(true);
   drainUnheard();
-  pass(1);
+  advance(1);
   other.listener.rejectConnections(false);
   EXPECT_TRUE(told(kToldAfterReload));
   expectNothingGoesToTheWriter();
@@ -151,29 +152,29 @@
   for (const double away : {0.3, 4.0, 9.0}) {
     drains = silent = false;
     speak();
-    start();
+    startNode();
     ASSERT_TRUE(told(1));
     silent = true;
     breakWatches(true);
     discovery.listener.rejectConnections(true);
     drainUnheard();
-    pass(away);
+    advance(away);
     discovery.listener.rejectConnections(false);
     silent = false;
     EXPECT_TRUE(told(kToldWithin)) << away;
     expectNothingGoesToTheWriter();
     node.reset();
-    settle();
+    runUntilIdle();
   }
 }
 
 TEST_F(WatchEndingsTest, BackInSilenceThenWithDrains) {
   speak();
-  start();
+  startNode();
   ASSERT_TRUE(told(1));
   silent = true;
   breakWatches(true);
-  pass(8);  // connections are taken, and nothing is said on them
+  advance(8);  // connections are taken, and nothing is said on them
   drainUnheard();
   silent = false;
   EXPECT_TRUE(told(kToldWithin));
--- a/wirehost/wire.cpp
+++ b/wirehost/wire.cpp
@@ -13,34 +13,34 @@
 
 using instance::asNumber;
 using instance::asUnsigned;
-using instance::find;
-using instance::flag;
-using instance::integer;
+using instance::findField;
+using instance::boolOrFalse;
+using instance::unsignedOr;
 using instance::Json;
-using instance::list;
-using instance::Malformed;
-using instance::Names;
-using instance::need;
-using instance::number;
-using instance::position;
-using instance::seconds;
-using instance::text;
-using instance::word;
-using instance::wrongType;
+using instance::arrayOrEmpty;
+using instance::MalformedInput;
+using instance::InstanceNames;
+using instance::requireField;
+using instance::numberOr;
+using instance::indexOf;
+using instance::secondsOr;
+using instance::requireString;
+using instance::stringOr;
+using instance::throwWrongType;
 
-int attemptNumber(const Json& fields) { return static_cast<int>(integer(fields, "sendNo", 0, 1U << 30)); }
+int attemptNumber(const Json& fields) { return static_cast<int>(unsignedOr(fields, "sendNo", 0, 1U << 30)); }
 
 EngineId serverId(const Json& fields) {
-  return {static_cast<std::uint32_t>(asUnsigned(need(fields, "engine"), "engine", 0xffffffffU))};
+  return {static_cast<std::uint32_t>(asUnsigned(requireField(fields, "engine"), "engine", 0xffffffffU))};
 }
 
-RequestId requestId(const Json& fields) { return {text(fields, "tid")}; }
+RequestId requestId(const Json& fields) { return {requireString(fields, "tid")}; }
 
-EngineEntry readEntry(const Json& entry, const Names& names) {
-  if (!entry.is_object()) wrongType("lines", "an array of objects");
+EngineEntry readEntry(const Json& entry, const InstanceNames& names) {
+  if (!entry.is_object()) throwWrongType("lines", "an array of objects");
   EngineEntry s;
   s.id = serverId(entry);
-  const std::string status = text(entry, "status");
+  const std::string status = requireString(entry, "status");
   if (status == "SERVING") {
     s.state = EngineEntry::State::kServing;
   } else if (status == "DRAINING") {
@@ -48,57 +48,56 @@
   } else if (status == "DELETED") {
     s.state = EngineEntry::State::kRemoved;
   } else {
-    throw Malformed("unknown status '" + status + "'");
+    throw MalformedInput("unknown status '" + status + "'");
   }
-  names.describe(s, word(entry, "classOfHost", ""), word(entry, "rackZone", ""));
-  s.cell = static_cast<std::uint32_t>(integer(entry, "cell", 0, 0xffffffffU));
-  const double launched = number(entry, "launchedS", 0);
+  names.describeEngine(s, stringOr(entry, "classOfHost", ""), stringOr(entry, "rackZone", ""));
+  s.cell = static_cast<std::uint32_t>(unsignedOr(entry, "cell", 0, 0xffffffffU));
+  const double launched = numberOr(entry, "launchedS", 0);
   if (launched > 0) s.startedAt = Instant(Duration(launched));
   return s;
 }
 
-EngineListUpdate readList(const Json& fields, const Names& names) {
+EngineListUpdate readList(const Json& fields, const InstanceNames& names) {
   static const std::map<std::string, EngineListUpdate::Scope> kScopes = {
       {"INCREMENTAL", EngineListUpdate::Scope::kDelta},
       {"FULL", EngineListUpdate::Scope::kSnapshot},
       {"SAVED", EngineListUpdate::Scope::kCached},
       {"FAILED", EngineListUpdate::Scope::kFetchFailed}};
-  const auto scope = kScopes.find(text(fields, "scope"));
-  if (scope == kScopes.end()) throw Malformed("unknown scope '" + text(fields, "scope") + "'");
+  const auto scope = kScopes.find(requireString(fields, "scope"));
+  if (scope == kScopes.end()) throw MalformedInput("unknown scope '" + requireString(fields, "scope") + "'");
   EngineListUpdate result{scope->second, {}};
-  for (const Json& entry : list(fields, "lines")) result.entries.push_back(readEntry(entry, names));
+  for (const Json& entry : arrayOrEmpty(fields, "lines")) result.entries.push_back(readEntry(entry, names));
   return result;
 }
 
-RequestArrived readRequest(const Json& fields, const Names& names) {
+RequestArrived readRequest(const Json& fields, const InstanceNames& names) {
   RequestArrived r;
   r.id = requestId(fields);
-  const auto category = position(names.classes, text(fields, "category"));
-  if (!category) throw Malformed("unknown category '" + text(fields, "category") + "'");
+  const auto category = indexOf(names.classes, requireString(fields, "category"));
+  if (!category) throw MalformedInput("unknown category '" + requireString(fields, "category") + "'");
   r.classIndex = *category;
-  const Json* tenant = find(fields, "tenant");
-  if (tenant != nullptr && tenant->is_string())
-    r.tenant = position(names.tenants, tenant->get<std::string>());
-  r.isRetry = flag(fields, "isRetry");
-  r.timeUntilDeadline = Duration(asNumber(need(fields, "timeBudgetS"), "timeBudgetS"));
-  r.sessionKey = instance::key(fields, "session");
-  r.prefixKey = instance::key(fields, "prefix");
-  r.prefixTokens = number(fields, "sharedLen", 0);
-  r.promptTokens = number(fields, "promptLen", 0);
-  r.maxOutputTokens = number(fields, "nMax", 0);
-  const double hint = number(fields, "estimateS", 0);
+  const Json* tenant = findField(fields, "tenant");
+  if (tenant != nullptr && tenant->is_string()) r.tenant = indexOf(names.tenants, tenant->get<std::string>());
+  r.isRetry = boolOrFalse(fields, "isRetry");
+  r.timeUntilDeadline = Duration(asNumber(requireField(fields, "timeBudgetS"), "timeBudgetS"));
+  r.sessionKey = instance::hexKeyOrZero(fields, "session");
+  r.prefixKey = instance::hexKeyOrZero(fields, "prefix");
+  r.prefixTokens = numberOr(fields, "sharedLen", 0);
+  r.promptTokens = numberOr(fields, "promptLen", 0);
+  r.maxOutputTokens = numberOr(fields, "nMax", 0);
+  const double hint = numberOr(fields, "estimateS", 0);
   if (hint > 0) r.expectedOutputDuration = Duration(hint);
   return r;
 }
 
 std::optional<LoadReport> readLoad(const Json& fields) {
-  const Json* metrics = find(fields, "metrics");
+  const Json* metrics = findField(fields, "metrics");
   if (metrics == nullptr) return std::nullopt;
-  if (!metrics->is_object()) wrongType("metrics", "an object");
+  if (!metrics->is_object()) throwWrongType("metrics", "an object");
   LoadReport load;
   for (const auto& [name, value] : metrics->items()) {
-    if (instance::isIndicator(name) && !value.is_null())
-      instance::take(load, name, asNumber(value, name.c_str()));
+    if (instance::isLoadMetric(name) && !value.is_null())
+      instance::setLoadMetric(load, name, asNumber(value, name.c_str()));
   }
   return load;
 }
@@ -113,9 +112,9 @@
                                                            {"CANCELLED", Outcome::kCancelled},
                                                            {"TOO_LATE", Outcome::kNotSent},
                                                            {"prefilled", Outcome::kPrefilled}};
-  const auto found = kOutcomes.find(text(fields, "outcome"));
-  if (found == kOutcomes.end()) throw Malformed("unknown outcome '" + text(fields, "outcome") + "'");
-  const bool stateLost = found->second == Outcome::kRejected && number(fields, "detail", 0) == 1;
+  const auto found = kOutcomes.find(requireString(fields, "outcome"));
+  if (found == kOutcomes.end()) throw MalformedInput("unknown outcome '" + requireString(fields, "outcome") + "'");
+  const bool stateLost = found->second == Outcome::kRejected && numberOr(fields, "detail", 0) == 1;
   return stateLost ? Outcome::kStateLost : found->second;
 }
 
@@ -125,35 +124,35 @@
   e.attempt = attemptNumber(fields);
   e.engine = serverId(fields);
   e.outcome = readOutcome(fields);
-  e.requestFinished = flag(fields, "settled");
+  e.requestFinished = boolOrFalse(fields, "settled");
   if (e.outcome == Outcome::kOk || e.outcome == Outcome::kPrefilled)
-    e.cachedTokens = number(fields, "detail", 0);
-  e.elapsed = seconds(fields, "delaySeenS", 0);
+    e.cachedTokens = numberOr(fields, "detail", 0);
+  e.elapsed = secondsOr(fields, "delaySeenS", 0);
   e.load = readLoad(fields);
   return e;
 }
 
 // Events that the module has no use for give nothing; unknown names are malformed.
-std::optional<Event> readEvent(const std::string& name, const Json& fields, const Names& names) {
+std::optional<Event> readEvent(const std::string& name, const Json& fields, const InstanceNames& names) {
   if (name == "sync") return readList(fields, names);
   if (name == "demand") return readRequest(fields, names);
   if (name == "resolved") return readAttemptEnded(fields);
   if (name == "streaming") {
     return StreamStarted{requestId(fields), attemptNumber(fields), serverId(fields),
-                         seconds(fields, "delaySeenS", 0)};
+                         secondsOr(fields, "delaySeenS", 0)};
   }
   if (name == "probeResult") {
-    return ProbeEnded{serverId(fields), readOutcome(fields), seconds(fields, "delaySeenS", 0),
+    return ProbeEnded{serverId(fields), readOutcome(fields), secondsOr(fields, "delaySeenS", 0),
                       readLoad(fields)};
   }
   if (name == "holdResult") {
     return ReservationResult{requestId(fields), serverId(fields),
-                             asUnsigned(need(fields, "kind"), "kind", 255) == 1};
+                             asUnsigned(requireField(fields, "kind"), "kind", 255) == 1};
   }
-  if (name == "elapsed") return TimerFired{text(fields, "cookie")};
+  if (name == "elapsed") return TimerFired{requireString(fields, "cookie")};
   if (name == "vanished") return ClientDisconnected{requestId(fields)};
   if (name == "inbox") return std::nullopt;
-  throw Malformed("unknown message '" + name + "'");
+  throw MalformedInput("unknown message '" + name + "'");
 }
 
 struct ActionWriter {
@@ -183,13 +182,14 @@
   }
   Json operator()(const FetchEngineList&) const { return {{"reload", {{"who", who}}}}; }
   Json operator()(const SetTimer& a) const {
-    return {{"wakeMe", {{"who", who}, {"instantS", a.at.time_since_epoch().count()}, {"cookie", a.timer.value}}}};
+    return {
+        {"wakeMe", {{"who", who}, {"instantS", a.at.time_since_epoch().count()}, {"cookie", a.timer.value}}}};
   }
   Json operator()(const Log& a) const { return {{"debug", {{"who", who}, {"message", a.text}}}}; }
 };
 
 struct Instance {
-  Names names;
+  InstanceNames names;
   Policy policy;
 };
 
@@ -201,7 +201,7 @@
     const std::string& name = message.begin().key();
     const Json& fields = message.begin().value();
     if (name == "frame") return open(fields);
-    if (!inBatch_) throw Malformed("'" + name + "' outside a batch");
+    if (!inBatch_) throw MalformedInput("'" + name + "' outside a batch");
     if (name == "eob") return close();
     event(name, fields);
     return {};
@@ -212,16 +212,16 @@
  private:
   static Json parse(const std::string& line) {
     Json message = Json::parse(line, nullptr, false);
-    if (message.is_discarded()) throw Malformed("not valid JSON");
-    if (!message.is_object() || message.size() != 1) throw Malformed("not an object with a single key");
-    if (!message.begin().value().is_object()) throw Malformed("the message's fields are not an object");
+    if (message.is_discarded()) throw MalformedInput("not valid JSON");
+    if (!message.is_object() || message.size() != 1) throw MalformedInput("not an object with a single key");
+    if (!message.begin().value().is_object()) throw MalformedInput("the message's fields are not an object");
     return message;
   }
 
   std::string open(const Json& fields) {
-    if (inBatch_) throw Malformed("'frame' before the batch's end");
-    now_ = Instant(Duration(asNumber(need(fields, "nowS"), "nowS")));
-    batch_ = asUnsigned(need(fields, "batch"), "batch", UINT64_MAX);
+    if (inBatch_) throw MalformedInput("'frame' before the batch's end");
+    now_ = Instant(Duration(asNumber(requireField(fields, "nowS"), "nowS")));
+    batch_ = asUnsigned(requireField(fields, "batch"), "batch", UINT64_MAX);
     inBatch_ = true;
     reply_.clear();
     return {};
@@ -234,18 +234,18 @@
   }
 
   void event(const std::string& name, const Json& fields) {
-    const std::string who = text(fields, "who");
+    const std::string who = requireString(fields, "who");
     if (name == "attach") {
-      Names names;
-      const Json& options = need(fields, "options");
-      if (!options.is_object()) wrongType("options", "an object");
-      Policy policy(
-          instance::readSettings(options, asUnsigned(need(fields, "prng"), "prng", UINT64_MAX), names));
+      InstanceNames names;
+      const Json& options = requireField(fields, "options");
+      if (!options.is_object()) throwWrongType("options", "an object");
+      Policy policy(instance::readSettings(
+          options, asUnsigned(requireField(fields, "prng"), "prng", UINT64_MAX), names));
       instances_.insert_or_assign(who, Instance{std::move(names), std::move(policy)});
       return;
     }
     const auto it = instances_.find(who);
-    if (it == instances_.end()) throw Malformed("'" + name + "' for an instance that is not attached");
+    if (it == instances_.end()) throw MalformedInput("'" + name + "' for an instance that is not attached");
     if (name == "destroy") {
       instances_.erase(it);
       return;
@@ -276,7 +276,7 @@
     try {
       const std::string reply = host.take(line);
       if (!reply.empty()) out << reply << std::flush;
-    } catch (const Malformed& fault) {
+    } catch (const MalformedInput& fault) {
       err << "gannetcourse_wirehost: line " << at << ": " << fault.what() << '\n';
       return 1;
     }
