--- /dev/null
+++ b/tests/core_continuation_test.cpp
@@ -0,0 +1,367 @@
+// router::Core in virtual time: streams that lose their engine, and how they are continued.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <map>
+#include <string>
+
+#include "core_fixture.h"
+#include "gannetcourse/router.h"
+#include "harness.h"
+
+namespace gannetcourse::router {
+namespace {
+
+class CoreContinuationTest : public CoreFixture {};
+
+TEST_F(CoreContinuationTest, ABrokenStreamContinuesAtAnotherDecodeEngine) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 1, "b");
+  takeCommands();
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
+  const auto prefills = commandsOf<StartPrefill>(takeCommands());
+  ASSERT_EQ(prefills.size(), 1u);
+  EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty());
+  EXPECT_EQ(prefills.front().attempt, 2) << "engines know the newest attempt by its number";
+  EXPECT_EQ(prefills.front().payload->promptTokens, 1002u) << "the prompt and what was sent";
+  EXPECT_EQ(prefills.front().payload->prompt, "ab");
+  core.onPrefillEnded(at(1.5), prefills.front().call, "again", 900, {});
+  const auto decodes = commandsOf<StartDecode>(takeCommands());
+  ASSERT_EQ(decodes.size(), 1u);
+  EXPECT_EQ(decodes.front().payload->firstTokenIndex, 2u);
+  core.onToken(at(1.55), call, 2, "of the lost call");
+  core.onToken(at(1.6), decodes.front().call, 2, "c");
+  core.onCallEnded(at(1.7), decodes.front().call, Outcome::kOk, 0, {}, "");
+  takeCommands();
+  const auto tokens = commandsOf<SendToken>(lastCommands);
+  ASSERT_EQ(tokens.size(), 1u);
+  EXPECT_EQ(tokens.front().index, 2u);
+  EXPECT_EQ(tokens.front().text, "c");
+  ASSERT_EQ(commandsOf<FinalResponse>(lastCommands).size(), 1u);
+  EXPECT_EQ(commandsOf<FinalResponse>(lastCommands).front().status, FinalStatus::kServed);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+  EXPECT_EQ(core.counters().continued, 1u);
+}
+
+TEST_F(CoreContinuationTest, AStreamOfAnotherRouterIsResumedOnceItsAttemptIsFenced) {
+  const auto resumed = [&](RequestKey key, const std::string& id) {
+    NewRequest a;
+    a.key = key;
+    a.timeUntilDeadline = Duration(10);
+    auto work = std::make_shared<RequestPayload>();
+    work->prompt = "p";
+    work->promptTokens = 1000;
+    work->maxOutputTokens = 100;
+    a.payload = work;
+    a.resumedStream = ResumedStream{id, 1, EngineId{2}, 3, "abc"};
+    core.onRequest(at(1), std::move(a));
+  };
+  resumed(7, "m-4");
+  const auto fences = commandsOf<FenceAttempt>(takeCommands());
+  ASSERT_EQ(fences.size(), 1u);
+  EXPECT_EQ(fences.front().id, "m-4");
+  EXPECT_EQ(fences.front().attempt, 1);
+  EXPECT_TRUE(commandsOf<StartPrefill>(lastCommands).empty());
+  core.onAttemptFenced(at(1.1), 7, 1);
+  const auto prefills = commandsOf<StartPrefill>(takeCommands());
+  ASSERT_EQ(prefills.size(), 1u);
+  EXPECT_EQ(prefills.front().id, "m-4");
+  EXPECT_EQ(prefills.front().attempt, 2);
+  EXPECT_EQ(prefills.front().payload->prompt, "pabc");
+  core.onPrefillEnded(at(1.2), prefills.front().call, "state", 0, {});
+  const auto decode = commandsOf<StartDecode>(takeCommands()).front();
+  EXPECT_EQ(decode.payload->firstTokenIndex, 3u);
+  core.onToken(at(1.3), decode.call, 3, "d");
+  EXPECT_EQ(commandsOf<SendToken>(takeCommands()).front().index, 3u);
+  // Its client resumes once more: the call that it left gets its response, and nothing runs twice.
+  resumed(8, "m-4");
+  takeCommands();
+  EXPECT_EQ(commandsOf<CancelCall>(lastCommands).size(), 1u);
+  ASSERT_EQ(commandsOf<FinalResponse>(lastCommands).size(), 1u);
+  EXPECT_EQ(commandsOf<FinalResponse>(lastCommands).front().request, 7u);
+  ASSERT_EQ(commandsOf<FenceAttempt>(lastCommands).size(), 1u);
+  EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).front().attempt, 3)
+      << "the newest, not the one that it knew";
+  EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).front().engine, decode.engine);
+  core.onClientDisconnected(at(1.5), 8);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, AContinuationThatFindsNoEngineFailsInTime) {
+  const CallKey call = startStream(1, 7, 6);
+  core.onEngineListUpdate(at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {}});
+  takeCommands();
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
+  auto commands = commandsOf<FinalResponse>(takeCommands());
+  for (const FinalResponse& a : commandsOf<FinalResponse>(advanceTo(8))) commands.push_back(a);
+  ASSERT_EQ(commands.size(), 1u);
+  EXPECT_EQ(commands.front().status, FinalStatus::kFailed) << "part of it was sent: no rejection";
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, AClientDisconnectsDuringAContinuation) {
+  const CallKey call = startStream(1, 7);
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
+  ASSERT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
+  core.onClientDisconnected(at(1.45), 7);
+  EXPECT_EQ(commandsOf<CancelCall>(takeCommands()).size(), 1u);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, ThePolicyIsNotifiedOfADisconnectWhileAContinuationWaits) {
+  const CallKey call = startStream(1, 7);
+  core.onEngineListUpdate(
+      at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {test::server(2, Role::kDecode)}});
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
+      << "there is no prefill engine: it waits with the policy";
+  core.onClientDisconnected(at(1.45), 7);
+  core.onEngineListUpdate(
+      at(1.5), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
+                                {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+  advanceTo(8);
+  EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy sends nothing for a request that is over";
+}
+
+TEST_F(CoreContinuationTest, ABrokenStreamFailsItsRequestOnce) {
+  recovery::Limits disabled;
+  disabled.enabled = false;
+  core = Core(test::twoStageSettings(), Options{"n", Duration(0.05), true, disabled});
+  core.onEngineListUpdate(
+      at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
+                              {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+  takeCommands();
+  const CallKey call = startStream(1, 7);
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
+  const auto responses = commandsOf<FinalResponse>(takeCommands());
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kFailed);
+  EXPECT_NE(responses.front().reason.find("connection lost"), std::string::npos);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, ADuplicateTokenIsDroppedAndAMissingOneEndsTheAttempt) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 0, "again");
+  EXPECT_TRUE(commandsOf<SendToken>(takeCommands()).size() == 1u) << "the first only";
+  EXPECT_EQ(core.counters().droppedTokens, 1u);
+  core.onToken(at(1.3), call, 2, "gap");
+  EXPECT_EQ(commandsOf<CancelCall>(takeCommands()).size(), 1u);
+  EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty());
+  EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).size(), 1u) << "the engine may still be sending it";
+  EXPECT_TRUE(commandsOf<StartPrefill>(lastCommands).empty());
+}
+
+TEST_F(CoreContinuationTest, ACancelledStreamContinuesOnceItsAttemptIsFenced) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 2, "gap");
+  const auto fences = commandsOf<FenceAttempt>(takeCommands());
+  ASSERT_EQ(fences.size(), 1u);
+  EXPECT_EQ(fences.front().attempt, 1);
+  core.onAttemptFenced(at(1.35), 7, 0);
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
+      << "the end of an older attempt does not count";
+  core.onAttemptFenced(at(1.4), 7, 1);
+  EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
+  core.onAttemptFenced(at(1.45), 7, 1);
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty()) << "confirmed twice, continued once";
+}
+
+TEST_F(CoreContinuationTest, ASilentEngineIsWaitedForUntilItsLeaseExpires) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 2, "gap");
+  takeCommands();
+  auto commands = advanceTo(3.2);
+  EXPECT_GE(commandsOf<FenceAttempt>(commands).size(), 3u) << "asked repeatedly";
+  EXPECT_TRUE(commandsOf<StartPrefill>(commands).empty());
+  commands = advanceTo(3.5);
+  EXPECT_EQ(commandsOf<StartPrefill>(commands).size(), 1u);
+  core.onToken(at(3.6), call, 1, "late");
+  EXPECT_TRUE(commandsOf<SendToken>(core.takeCommands()).empty());
+  EXPECT_EQ(core.counters().droppedTokens, 1u);
+}
+
+TEST_F(CoreContinuationTest, AClientDisconnectsWhileTheFenceIsPending) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 2, "gap");
+  takeCommands();
+  core.onClientDisconnected(at(1.35), 7);
+  core.onAttemptFenced(at(1.4), 7, 1);
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty());
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, TheDeadlinePassesWhileTheFenceIsPending) {
+  const CallKey call = startStream(1, 7, 2);
+  core.onToken(at(2.2), call, 2, "gap");
+  takeCommands();
+  const auto responses = commandsOf<FinalResponse>(advanceTo(8));
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kFailed);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, AnEngineLostAfterTheLastTokenStillCompletesTheStream) {
+  const CallKey call = startStream(1, 7);
+  core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "after the last token");
+  const auto prefill = commandsOf<StartPrefill>(takeCommands()).front();
+  core.onPrefillEnded(at(1.5), prefill.call, "state", 0, {});
+  const auto decode = commandsOf<StartDecode>(takeCommands()).front();
+  EXPECT_EQ(decode.payload->firstTokenIndex, 1u);
+  core.onCallEnded(at(1.6), decode.call, Outcome::kOk, 0, {}, "");  // no further token
+  takeCommands();
+  ASSERT_EQ(commandsOf<FinalResponse>(lastCommands).size(), 1u);
+  EXPECT_EQ(commandsOf<FinalResponse>(lastCommands).front().status, FinalStatus::kServed);
+  EXPECT_TRUE(commandsOf<SendToken>(lastCommands).empty());
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, PrefillAndDecodeEngineAreLostDuringAContinuation) {
+  EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
+                        {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+  core.onEngineListUpdate(at(0.5), more);
+  sendRequest(1, 7);
+  const auto first = commandsOf<StartPrefill>(takeCommands()).front();
+  core.onPrefillEnded(at(1.1), first.call, "state", 0, {});
+  const auto decode = commandsOf<StartDecode>(takeCommands()).front();
+  core.onToken(at(1.2), decode.call, 0, "a");
+  core.onCallEnded(at(1.3), decode.call, Outcome::kReset, 0, {}, "connection lost");
+  const auto again = commandsOf<StartPrefill>(takeCommands()).front();
+  core.onPrefillEnded(at(1.4), again.call, "state", 0, {});
+  const auto next = commandsOf<StartDecode>(takeCommands()).front();
+  EngineListUpdate removal{EngineListUpdate::Scope::kDelta,
+                           {test::server(again.engine.value, Role::kPrefill)}};
+  removal.entries.front().state = EngineEntry::State::kRemoved;
+  core.onEngineListUpdate(at(1.45), removal);
+  core.onCallEnded(at(1.5), next.call, Outcome::kStateLost, 0, {}, "state is gone");
+  const auto third = commandsOf<StartPrefill>(takeCommands());
+  ASSERT_EQ(third.size(), 1u);
+  EXPECT_NE(third.front().engine, again.engine);
+  EXPECT_EQ(third.front().payload->prompt, "a") << "the tokens already sent are prefilled with the prompt";
+  core.onPrefillEnded(at(1.6), third.front().call, "state", 0, {});
+  const auto last = commandsOf<StartDecode>(takeCommands()).front();
+  core.onToken(at(1.7), last.call, 1, "b");
+  core.onCallEnded(at(1.8), last.call, Outcome::kOk, 0, {}, "");
+  takeCommands();
+  EXPECT_EQ(commandsOf<FinalResponse>(lastCommands).front().status, FinalStatus::kServed);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreContinuationTest, AContinuationsPrefillFailsAndTheOldEngineStillSends) {
+  EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
+                        {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 4; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+  core.onEngineListUpdate(at(0.5), more);
+  sendRequest(1, 7);
+  core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
+  const auto old = commandsOf<StartDecode>(takeCommands()).front();
+  core.onToken(at(1.2), old.call, 0, "a");
+  core.onToken(at(1.25), old.call, 2, "gap");
+  core.onAttemptFenced(at(1.3), 7, 1);
+  const auto prefill = commandsOf<StartPrefill>(takeCommands()).front();
+  core.onToken(at(1.32), old.call, 1, "it had confirmed its end");
+  core.onCallEnded(at(1.35), prefill.call, Outcome::kReset, 0, {}, "connection lost");
+  std::vector<StartPrefill> again = commandsOf<StartPrefill>(takeCommands());
+  for (const StartPrefill& r : commandsOf<StartPrefill>(advanceTo(1.45))) again.push_back(r);
+  ASSERT_EQ(again.size(), 1u);
+  EXPECT_NE(again.front().engine, prefill.engine);
+  EXPECT_TRUE(commandsOf<SendToken>(lastCommands).empty());
+  EXPECT_EQ(core.counters().droppedTokens, 1u);
+}
+
+TEST_F(CoreContinuationTest, AllDecodeEnginesOfACellAreRemoved) {
+  EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
+                         {test::server(1, Role::kPrefill, 1), test::server(2, Role::kDecode, 1),
+                          test::server(3, Role::kDecode, 1), test::server(9, Role::kDecode, 2)}};
+  core.onEngineListUpdate(at(0.5), fleet);
+  sendRequest(1, 7);
+  core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
+  const auto first = commandsOf<StartDecode>(takeCommands()).front();
+  ASSERT_NE(first.engine, EngineId{9}) << "engines of the same cell come first";
+  core.onToken(at(1.2), first.call, 0, "a");
+  EngineListUpdate removal{EngineListUpdate::Scope::kDelta, {fleet.entries[1], fleet.entries[2]}};
+  for (EngineEntry& entry : removal.entries) entry.state = EngineEntry::State::kRemoved;
+  core.onEngineListUpdate(at(1.25), removal);
+  core.onCallEnded(at(1.3), first.call, Outcome::kReset, 0, {}, "connection lost");
+  core.onPrefillEnded(at(1.4), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
+  const auto decodes = commandsOf<StartDecode>(takeCommands());
+  ASSERT_EQ(decodes.size(), 1u);
+  EXPECT_EQ(decodes.front().engine, EngineId{9});
+}
+
+TEST_F(CoreContinuationTest, ContinuationsDoNotOverloadAnEngineInSlowStart) {
+  EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
+                         {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill),
+                          test::server(2, Role::kDecode), test::server(4, Role::kDecode)}};
+  core.onEngineListUpdate(at(0.5), fleet);
+  std::map<CallKey, EngineId> streams;
+  for (RequestKey key = 1; key <= 40; ++key) {
+    sendRequest(1 + 0.1 * static_cast<double>(key), key, 60);
+    const double now = 1.02 + 0.1 * static_cast<double>(key);
+    for (const StartPrefill& prefill : commandsOf<StartPrefill>(takeCommands()))
+      core.onPrefillEnded(at(now), prefill.call, "state", 0, {});
+    for (const StartDecode& decode : commandsOf<StartDecode>(takeCommands())) {
+      core.onToken(at(now), decode.call, 0, "a");
+      streams.emplace(decode.call, decode.engine);
+    }
+  }
+  EngineEntry starting = test::server(3, Role::kDecode);
+  starting.startedAt = at(5.1);
+  core.onEngineListUpdate(at(5.1), EngineListUpdate{EngineListUpdate::Scope::kDelta, {starting}});
+  takeCommands();
+  int lost = 0, toSlowStart = 0, toWarm = 0;
+  for (const auto& [call, engine] : streams) {
+    if (engine != EngineId{2}) continue;
+    ++lost;
+    core.onCallEnded(at(5.2), call, Outcome::kReset, 0, {}, "connection lost");
+    for (const StartPrefill& prefill : commandsOf<StartPrefill>(takeCommands()))
+      core.onPrefillEnded(at(5.2), prefill.call, "state", 0, {});
+    for (const StartDecode& decode : commandsOf<StartDecode>(takeCommands()))
+      ++(decode.engine == EngineId{3} ? toSlowStart : toWarm);
+  }
+  EXPECT_GT(lost, 10);
+  EXPECT_GT(toWarm, 5) << "continuations proceed all the same";
+  EXPECT_LE(toSlowStart, toWarm / 4) << "an engine in slow start gets its share, as of new requests";
+}
+
+TEST_F(CoreContinuationTest, AStreamIsMigratedBeforeItsEngineShutsDown) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.25), call, 1, "b");
+  takeCommands();
+  for (const std::uint32_t engine : {2u, 3u}) core.onEngineShutdownNotice(at(1.3), EngineId{engine}, at(2));
+  const auto commands = advanceTo(1.5);
+  ASSERT_EQ(commandsOf<FenceAttempt>(commands).size(), 1u);
+  EXPECT_EQ(commandsOf<CancelCall>(commands).size(), 1u);
+  core.onAttemptFenced(at(1.51), 7, 1);
+  EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
+}
+
+TEST_F(CoreContinuationTest, TheThirdDecodeEngineIsLostToo) {
+  EngineListUpdate more{EngineListUpdate::Scope::kSnapshot, {test::server(1, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+  core.onEngineListUpdate(at(0.5), more);
+  auto call = startStream(1, 7, 30);
+  std::uint32_t next = 1;
+  for (int death = 0; death < 2; ++death) {
+    const double now = 1.5 + death;
+    core.onCallEnded(at(now), call, Outcome::kReset, 0, {}, "connection lost");
+    const auto prefills = commandsOf<StartPrefill>(takeCommands());
+    ASSERT_EQ(prefills.size(), 1u);
+    EXPECT_EQ(prefills.front().attempt, 2 + 2 * death);
+    core.onPrefillEnded(at(now + 0.1), prefills.front().call, "state", 0, {});
+    const auto decodes = commandsOf<StartDecode>(takeCommands());
+    ASSERT_EQ(decodes.size(), 1u);
+    EXPECT_EQ(decodes.front().payload->firstTokenIndex, next);
+    call = decodes.front().call;
+    core.onToken(at(now + 0.2), call, next++, "x");
+  }
+  core.onCallEnded(at(5), call, Outcome::kReset, 0, {}, "connection lost");
+  const auto responses = commandsOf<FinalResponse>(takeCommands());
+  ASSERT_EQ(responses.size(), 1u) << "six attempts are all that the settings grant";
+  EXPECT_NE(responses.front().reason.find("no attempts left"), std::string::npos);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+}  // namespace
+}  // namespace gannetcourse::router
--- /dev/null
+++ b/tests/core_requests_test.cpp
@@ -0,0 +1,181 @@
+// router::Core in virtual time: the life cycle of requests and the invariants that need no decision.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <iterator>
+#include <map>
+#include <string>
+
+#include "core_fixture.h"
+#include "gannetcourse/router.h"
+#include "harness.h"
+
+namespace gannetcourse::router {
+namespace {
+
+class CoreRequestsTest : public CoreFixture {};
+
+TEST_F(CoreRequestsTest, ReconfigureKeepsOpenRequestsAndTheirClass) {
+  sendRequest(1, 7);
+  const auto prefills = commandsOf<StartPrefill>(takeCommands());
+  ASSERT_EQ(prefills.size(), 1u);
+  Settings changed = test::twoStageSettings();
+  changed.classes[0].inService = false;
+  changed.classes.push_back({});
+  changed.classes[1].idempotency = Idempotency::kAtMostOnce;
+  changed.routerCount = 100;
+  core.reconfigure(at(1.05), changed);
+  EXPECT_TRUE(commandsOf<FinalResponse>(takeCommands()).empty());
+  EXPECT_EQ(core.openRequests(), 1u);
+  core.onPrefillEnded(at(1.1), prefills[0].call, "state", 0, {});
+  const auto decodes = commandsOf<StartDecode>(takeCommands());
+  ASSERT_EQ(decodes.size(), 1u);
+  core.onToken(at(1.2), decodes[0].call, 0, "a");
+  core.onCallEnded(at(1.3), decodes[0].call, Outcome::kReset, 0, {}, "", recovery::AttemptEnd::kConfirmed);
+  EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u)
+      << "its class is idempotent, so it is continued";
+}
+
+TEST_F(CoreRequestsTest, ReconfigureRejectsAClassWithAnotherMeaning) {
+  Settings other = test::twoStageSettings();
+  other.classes[0].idempotency = Idempotency::kAtMostOnce;
+  EXPECT_THROW(core.reconfigure(at(1), other), std::invalid_argument);
+  other.classes.clear();
+  EXPECT_THROW(core.reconfigure(at(1), other), std::invalid_argument);
+  const CallKey call = startStream(1, 7);
+  core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
+  EXPECT_EQ(core.counters().served, 1u);
+}
+
+TEST_F(CoreRequestsTest, ServesARequestByPrefillAndDecode) {
+  const CallKey call = startStream(1, 7);
+  core.onToken(at(1.3), call, 1, "b");
+  core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
+  takeCommands();
+  const auto tokens = commandsOf<SendToken>(lastCommands);
+  ASSERT_EQ(tokens.size(), 2u);
+  EXPECT_EQ(tokens[1].text, "b");
+  const auto responses = commandsOf<FinalResponse>(lastCommands);
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kServed);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+  EXPECT_EQ(core.counters().served, 1u);
+}
+
+TEST_F(CoreRequestsTest, NothingOfAnEndedCallReachesTheClient) {
+  const CallKey call = startStream(1, 7);
+  core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
+  takeCommands();
+  core.onToken(at(1.5), call, 1, "late");
+  core.onCallEnded(at(1.6), call, Outcome::kReset, 0, {}, "again");
+  EXPECT_TRUE(core.takeCommands().empty());
+  EXPECT_EQ(core.counters().failed, 0u);
+}
+
+TEST_F(CoreRequestsTest, ARunningStreamEndsBeforeTheDeadline) {
+  startStream(1, 7, 3);
+  takeCommands();
+  const auto commands = advanceTo(10);
+  const auto responses = commandsOf<FinalResponse>(commands);
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kDeadlineExceeded);
+  EXPECT_EQ(commandsOf<CancelCall>(commands).size(), 1u);
+  const auto records = commandsOf<Record>(commands);
+  const auto deadline = std::find_if(records.begin(), records.end(),
+                                     [](const Record& r) { return r.kind == RecordKind::kDeadlineExceeded; });
+  ASSERT_NE(deadline, records.end());
+  EXPECT_LT(deadline->at, at(4));
+}
+
+TEST_F(CoreRequestsTest, ASilentEngineIsAbandonedAndTheResponseComesInTime) {
+  sendRequest(1, 7, 10, 4);
+  takeCommands();
+  const auto commands = advanceTo(12);
+  const auto responses = commandsOf<FinalResponse>(commands);
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_NE(responses.front().status, FinalStatus::kServed);
+  EXPECT_GE(commandsOf<CancelCall>(commands).size(), 1u);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+  EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy responds before the core has to";
+}
+
+TEST_F(CoreRequestsTest, NeverTwoCallsOfARequestAreInFlight) {
+  // Each call fails in another way, at once or late.
+  std::map<CallKey, std::string> out;
+  const Outcome kinds[] = {Outcome::kError, Outcome::kReset, Outcome::kConnectFailed, Outcome::kRejected,
+                           Outcome::kStateLost};
+  std::size_t next = 0;
+  for (RequestKey key = 1; key <= 40; ++key) sendRequest(1 + 0.01 * static_cast<double>(key), key);
+  double now = 1.5;
+  for (int step = 0; step < 2000 && core.pendingObligations() > 0; ++step, now += 0.01) {
+    core.advance(at(now));
+    for (const Command& c : core.takeCommands()) {
+      if (const auto* prefill = std::get_if<StartPrefill>(&c)) out[prefill->call] = prefill->id;
+      if (const auto* decode = std::get_if<StartDecode>(&c)) out[decode->call] = decode->id;
+      if (const auto* cancelled = std::get_if<CancelCall>(&c)) out.erase(cancelled->call);
+      std::map<std::string, int> open;
+      for (const auto& [call, id] : out) ASSERT_EQ(++open[id], 1) << id;
+    }
+    if (out.empty() || step % 3 != 0) continue;
+    const CallKey call = out.begin()->first;
+    out.erase(out.begin());
+    core.onCallEnded(at(now), call, kinds[next++ % std::size(kinds)], 0, {}, "failed");
+  }
+  EXPECT_EQ(core.pendingObligations(), 0u);
+  const Counters& counts = core.counters();
+  EXPECT_EQ(counts.served + counts.rejected + counts.failed + counts.deadlineExceeded, 40u);
+}
+
+TEST_F(CoreRequestsTest, ADrainingRouterRejectsNewRequestsAndFinishesTheOthers) {
+  const CallKey call = startStream(1, 7);
+  core.drain(at(1.3));
+  takeCommands();
+  sendRequest(1.4, 8);
+  const auto responses = commandsOf<FinalResponse>(takeCommands());
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().request, 8u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kRejected);
+  core.onCallEnded(at(1.5), call, Outcome::kOk, 0, {}, "");
+  EXPECT_EQ(commandsOf<FinalResponse>(takeCommands()).front().status, FinalStatus::kServed);
+  EXPECT_EQ(core.pendingObligations(), 0u);
+}
+
+TEST_F(CoreRequestsTest, TwoCoresShareNothing) {
+  Core other(test::twoStageSettings(), Options{"m", Duration(0.05), true, {}});
+  other.onEngineListUpdate(at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {}});
+  other.takeCommands();
+  sendRequest(1, 7);
+  EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
+  EXPECT_EQ(other.pendingObligations(), 0u);
+  EXPECT_TRUE(other.takeCommands().empty());
+  EXPECT_EQ(other.counters().accepted, 0u);
+}
+
+TEST_F(CoreRequestsTest, SameEventsGiveTheSameCommands) {
+  const auto play = [] {
+    Core core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}});
+    std::string commands;
+    core.onEngineListUpdate(
+        at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
+                                {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+    for (RequestKey key = 1; key <= 30; ++key) {
+      NewRequest a;
+      a.key = key;
+      a.timeUntilDeadline = Duration(5);
+      auto work = std::make_shared<RequestPayload>();
+      work->promptTokens = 100 * static_cast<std::uint32_t>(key);
+      a.payload = work;
+      core.onRequest(at(0.05 * static_cast<double>(key)), std::move(a));
+      for (const Command& c : core.takeCommands()) {
+        commands += std::to_string(c.index());
+        if (const auto* prefill = std::get_if<StartPrefill>(&c))
+          commands += prefill->id + std::to_string(prefill->engine.value);
+      }
+    }
+    return commands;
+  };
+  EXPECT_EQ(play(), play());
+}
+
+}  // namespace
+}  // namespace gannetcourse::router
