--- a/tests/core_continuation_test.cpp
+++ b/tests/core_continuation_test.cpp
@@ -44,19 +44,19 @@
 }
 
 TEST_F(CoreContinuationTest, AStreamOfAnotherRouterIsResumedOnceItsAttemptIsFenced) {
-  const auto resumed = [&](RequestKey key, const std::string& id) {
-    NewRequest a;
-    a.key = key;
-    a.timeUntilDeadline = Duration(10);
-    auto work = std::make_shared<RequestPayload>();
-    work->prompt = "p";
-    work->promptTokens = 1000;
-    work->maxOutputTokens = 100;
-    a.payload = work;
-    a.resumedStream = ResumedStream{id, 1, EngineId{2}, 3, "abc"};
-    core.onRequest(at(1), std::move(a));
+  const auto resume = [&](RequestKey key, const std::string& id) {
+    NewRequest arrival;
+    arrival.key = key;
+    arrival.timeUntilDeadline = Duration(10);
+    auto payload = std::make_shared<RequestPayload>();
+    payload->prompt = "p";
+    payload->promptTokens = 1000;
+    payload->maxOutputTokens = 100;
+    arrival.payload = payload;
+    arrival.resumedStream = ResumedStream{id, 1, EngineId{2}, 3, "abc"};
+    core.onRequest(at(1), std::move(arrival));
   };
-  resumed(7, "m-4");
+  resume(7, "m-4");
   const auto fences = commandsOf<FenceAttempt>(takeCommands());
   ASSERT_EQ(fences.size(), 1u);
   EXPECT_EQ(fences.front().id, "m-4");
@@ -74,7 +74,7 @@
   core.onToken(at(1.3), decode.call, 3, "d");
   EXPECT_EQ(commandsOf<SendToken>(takeCommands()).front().index, 3u);
   // Its client resumes once more: the call that it left gets its response, and nothing runs twice.
-  resumed(8, "m-4");
+  resume(8, "m-4");
   takeCommands();
   EXPECT_EQ(commandsOf<CancelCall>(lastCommands).size(), 1u);
   ASSERT_EQ(commandsOf<FinalResponse>(lastCommands).size(), 1u);
@@ -92,10 +92,10 @@
   core.onEngineListUpdate(at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {}});
   takeCommands();
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
-  auto commands = commandsOf<FinalResponse>(takeCommands());
-  for (const FinalResponse& a : commandsOf<FinalResponse>(advanceTo(8))) commands.push_back(a);
-  ASSERT_EQ(commands.size(), 1u);
-  EXPECT_EQ(commands.front().status, FinalStatus::kFailed) << "part of it was sent: no rejection";
+  auto responses = commandsOf<FinalResponse>(takeCommands());
+  for (const FinalResponse& later : commandsOf<FinalResponse>(advanceTo(8))) responses.push_back(later);
+  ASSERT_EQ(responses.size(), 1u);
+  EXPECT_EQ(responses.front().status, FinalStatus::kFailed) << "part of it was sent: no rejection";
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
@@ -263,7 +263,7 @@
   core.onToken(at(1.32), old.call, 1, "it had confirmed its end");
   core.onCallEnded(at(1.35), prefill.call, Outcome::kReset, 0, {}, "connection lost");
   std::vector<StartPrefill> again = commandsOf<StartPrefill>(takeCommands());
-  for (const StartPrefill& r : commandsOf<StartPrefill>(advanceTo(1.45))) again.push_back(r);
+  for (const StartPrefill& later : commandsOf<StartPrefill>(advanceTo(1.45))) again.push_back(later);
   ASSERT_EQ(again.size(), 1u);
   EXPECT_NE(again.front().engine, prefill.engine);
   EXPECT_TRUE(commandsOf<SendToken>(lastCommands).empty());
@@ -317,8 +317,10 @@
     core.onCallEnded(at(5.2), call, Outcome::kReset, 0, {}, "connection lost");
     for (const StartPrefill& prefill : commandsOf<StartPrefill>(takeCommands()))
       core.onPrefillEnded(at(5.2), prefill.call, "state", 0, {});
-    for (const StartDecode& decode : commandsOf<StartDecode>(takeCommands()))
-      ++(decode.engine == EngineId{3} ? toSlowStart : toWarm);
+    for (const StartDecode& decode : commandsOf<StartDecode>(takeCommands())) {
+      int& count = decode.engine == EngineId{3} ? toSlowStart : toWarm;
+      ++count;
+    }
   }
   EXPECT_GT(lost, 10);
   EXPECT_GT(toWarm, 5) << "continuations proceed all the same";
@@ -343,12 +345,12 @@
   core.onEngineListUpdate(at(0.5), more);
   auto call = startStream(1, 7, 30);
   std::uint32_t next = 1;
-  for (int death = 0; death < 2; ++death) {
-    const double now = 1.5 + death;
+  for (int loss = 0; loss < 2; ++loss) {
+    const double now = 1.5 + loss;
     core.onCallEnded(at(now), call, Outcome::kReset, 0, {}, "connection lost");
     const auto prefills = commandsOf<StartPrefill>(takeCommands());
     ASSERT_EQ(prefills.size(), 1u);
-    EXPECT_EQ(prefills.front().attempt, 2 + 2 * death);
+    EXPECT_EQ(prefills.front().attempt, 2 + 2 * loss);
     core.onPrefillEnded(at(now + 0.1), prefills.front().call, "state", 0, {});
     const auto decodes = commandsOf<StartDecode>(takeCommands());
     ASSERT_EQ(decodes.size(), 1u);
--- a/tests/core_requests_test.cpp
+++ b/tests/core_requests_test.cpp
@@ -101,7 +101,7 @@
 
 TEST_F(CoreRequestsTest, NeverTwoCallsOfARequestAreInFlight) {
   // Each call fails in another way, at once or late.
-  std::map<CallKey, std::string> out;
+  std::map<CallKey, std::string> callsInFlight;
   const Outcome kinds[] = {Outcome::kError, Outcome::kReset, Outcome::kConnectFailed, Outcome::kRejected,
                            Outcome::kStateLost};
   std::size_t next = 0;
@@ -110,15 +110,15 @@
   for (int step = 0; step < 2000 && core.pendingObligations() > 0; ++step, now += 0.01) {
     core.advance(at(now));
     for (const Command& c : core.takeCommands()) {
-      if (const auto* prefill = std::get_if<StartPrefill>(&c)) out[prefill->call] = prefill->id;
-      if (const auto* decode = std::get_if<StartDecode>(&c)) out[decode->call] = decode->id;
-      if (const auto* cancelled = std::get_if<CancelCall>(&c)) out.erase(cancelled->call);
-      std::map<std::string, int> open;
-      for (const auto& [call, id] : out) ASSERT_EQ(++open[id], 1) << id;
+      if (const auto* prefill = std::get_if<StartPrefill>(&c)) callsInFlight[prefill->call] = prefill->id;
+      if (const auto* decode = std::get_if<StartDecode>(&c)) callsInFlight[decode->call] = decode->id;
+      if (const auto* cancelled = std::get_if<CancelCall>(&c)) callsInFlight.erase(cancelled->call);
+      std::map<std::string, int> callsOf;
+      for (const auto& [call, id] : callsInFlight) ASSERT_EQ(++callsOf[id], 1) << id;
     }
-    if (out.empty() || step % 3 != 0) continue;
-    const CallKey call = out.begin()->first;
-    out.erase(out.begin());
+    if (callsInFlight.empty() || step % 3 != 0) continue;
+    const CallKey call = callsInFlight.begin()->first;
+    callsInFlight.erase(callsInFlight.begin());
     core.onCallEnded(at(now), call, kinds[next++ % std::size(kinds)], 0, {}, "failed");
   }
   EXPECT_EQ(core.pendingObligations(), 0u);
@@ -159,13 +159,13 @@
         at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
                                 {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
     for (RequestKey key = 1; key <= 30; ++key) {
-      NewRequest a;
-      a.key = key;
-      a.timeUntilDeadline = Duration(5);
-      auto work = std::make_shared<RequestPayload>();
-      work->promptTokens = 100 * static_cast<std::uint32_t>(key);
-      a.payload = work;
-      core.onRequest(at(0.05 * static_cast<double>(key)), std::move(a));
+      NewRequest arrival;
+      arrival.key = key;
+      arrival.timeUntilDeadline = Duration(5);
+      auto payload = std::make_shared<RequestPayload>();
+      payload->promptTokens = 100 * static_cast<std::uint32_t>(key);
+      arrival.payload = payload;
+      core.onRequest(at(0.05 * static_cast<double>(key)), std::move(arrival));
       for (const Command& c : core.takeCommands()) {
         commands += std::to_string(c.index());
         if (const auto* prefill = std::get_if<StartPrefill>(&c))
--- a/tests/orphaned_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -1,4 +1,5 @@
-// Attempts that were given up without a word of their engine may still leave a state behind: releases go on.
+// Attempts that were given up without their engine's answer may still leave a state there: releases are
+// repeated.
 #include <gtest/gtest.h>
 
 #include "gannetcourse/router.h"
@@ -7,9 +8,9 @@
 namespace gannetcourse::router {
 namespace {
 
-constexpr double kPinLimit = 0.5;
+constexpr double kLeaseLimit = 0.5;
 constexpr RequestKey kRequest = 7;
-constexpr EngineId kReader{1};
+constexpr EngineId kPrefillEngine{1};
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
@@ -23,18 +24,18 @@
     core.takeCommands();
   }
 
-  CallKey reads(double when, RequestKey key) {
+  CallKey startPrefill(double when, RequestKey key) {
     NewRequest arrival;
     arrival.key = key;
     arrival.id = "request-" + std::to_string(key);
     arrival.timeUntilDeadline = Duration(10);
-    auto work = std::make_shared<RequestPayload>();
-    work->promptTokens = 1000;
-    arrival.payload = work;
+    auto payload = std::make_shared<RequestPayload>();
+    payload->promptTokens = 1000;
+    arrival.payload = payload;
     core.onRequest(at(when), std::move(arrival));
     CallKey call = 0;
     for (const Command& command : core.takeCommands()) {
-      if (const auto* const read = std::get_if<StartPrefill>(&command)) call = read->call;
+      if (const auto* const prefill = std::get_if<StartPrefill>(&command)) call = prefill->call;
     }
     EXPECT_NE(call, 0U);
     return call;
@@ -42,12 +43,12 @@
 
   void collect(double when) {
     for (const Command& command : core.takeCommands()) {
-      const auto* const letGo = std::get_if<ReleaseState>(&command);
-      if (letGo != nullptr && letGo->id == "request-7") releases.push_back(when);
+      const auto* const release = std::get_if<ReleaseState>(&command);
+      if (release != nullptr && release->id == "request-7") releases.push_back(when);
     }
   }
 
-  void runTo(double end) {
+  void advanceTo(double end) {
     while (core.nextWakeup() && *core.nextWakeup() <= at(end)) {
       const Instant when = *core.nextWakeup();
       core.advance(when);
@@ -66,34 +67,35 @@
   std::vector<double> releases;
 };
 
-TEST_F(OrphanedStatesTest, AReadThatWasGivenUpIsReleasedAgainAndAgainForAWhile) {
-  reads(1, kRequest);
+TEST_F(OrphanedStatesTest, AnAbandonedPrefillIsReleasedRepeatedlyForALimitedTime) {
+  startPrefill(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
-  ASSERT_EQ(releases.size(), 1U) << "at once";
-  runTo(1.1 + 4);
+  ASSERT_EQ(releases.size(), 1U) << "immediately";
+  advanceTo(1.1 + 4);
   EXPECT_GE(releases.size(), 8U);
-  EXPECT_LE(longestGap(), kPinLimit);
-  runTo(60);
-  const std::size_t all = releases.size();
-  runTo(120);
-  EXPECT_EQ(releases.size(), all) << "not for ever";
+  EXPECT_LE(longestGap(), kLeaseLimit);
+  advanceTo(60);
+  const std::size_t releaseCount = releases.size();
+  advanceTo(120);
+  EXPECT_EQ(releases.size(), releaseCount) << "for a limited time";
 }
 
-// Who answers what was sent later has seen the end of the connection before: one more release is enough.
-TEST_F(OrphanedStatesTest, AnEngineThatAnswersWhatWasSentLaterHasEndedItsReads) {
-  reads(1, kRequest);
+// An engine that responds to a later attempt has seen the end of the connection before: one more release is
+// enough.
+TEST_F(OrphanedStatesTest, AResponseToALaterAttemptEndsTheReleases) {
+  startPrefill(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
-  const CallKey later = reads(1.2, kRequest + 1);
+  const CallKey later = startPrefill(1.2, kRequest + 1);
   core.onPrefillEnded(at(1.3), later, "state", 0, {});
   collect(1.3);
-  runTo(1.3 + 8);
+  advanceTo(1.3 + 8);
   EXPECT_EQ(releases.size(), 2U);
 }
 
-TEST_F(OrphanedStatesTest, ADrainDoesNotWaitForThem) {
-  reads(1, kRequest);
+TEST_F(OrphanedStatesTest, ADrainDoesNotWaitForReleases) {
+  startPrefill(1, kRequest);
   core.drain(at(1.05));
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
@@ -101,91 +103,92 @@
   EXPECT_EQ(core.pendingObligations(), 0U);
 }
 
-// While a later attempt of the request is out, or its state waits, a release by its name would take that
+// While a later attempt of the request is in flight, or its state waits, a release by name would release that
 // state.
-TEST_F(OrphanedStatesTest, AreLeftToALaterAttemptOfTheRequest) {
-  const CallKey first = reads(1, kRequest);
+TEST_F(OrphanedStatesTest, ReleasesAreDeferredWhileALaterAttemptIsInFlight) {
+  const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   CallKey second = 0;
-  const auto look = [&](double when) {
+  const auto collectAll = [&](double when) {
     for (const Command& command : core.takeCommands()) {
       if (std::holds_alternative<ReleaseState>(command)) releases.push_back(when);
-      if (const auto* const read = std::get_if<StartPrefill>(&command)) second = read->call;
+      if (const auto* const prefill = std::get_if<StartPrefill>(&command)) second = prefill->call;
     }
   };
-  look(1.1);
-  ASSERT_NE(second, 0U) << "it is sent again at once";
+  collectAll(1.1);
+  ASSERT_NE(second, 0U) << "it is retried immediately";
   while (core.nextWakeup() && *core.nextWakeup() < at(1.4)) {
     const Instant when = *core.nextWakeup();
     core.advance(when);
-    look(when.time_since_epoch().count());
+    collectAll(when.time_since_epoch().count());
   }
   core.onPrefillEnded(at(1.4), second, "state", 0, {});
-  look(1.4);
+  collectAll(1.4);
   EXPECT_EQ(releases, std::vector<double>{});
   core.onClientDisconnected(at(1.5), kRequest);
-  look(1.5);
+  collectAll(1.5);
   EXPECT_GE(releases.size(), 1U);
 }
 
-// ... but the later attempt may not have arrived: then nothing stops the time of what the first one has left.
-TEST_F(OrphanedStatesTest, AreNotPutOffForLongerThanTheLimitAllows) {
-  const CallKey first = reads(1, kRequest);
+// The later attempt may not have arrived, and then does not renew the lease of the state that the first one
+// left.
+TEST_F(OrphanedStatesTest, ReleasesAreNotDeferredBeyondTheLeaseLimit) {
+  const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   collect(1.1);
   ASSERT_EQ(releases.size(), 0U);
-  runTo(1.1 + kPinLimit);
+  advanceTo(1.1 + kLeaseLimit);
   EXPECT_EQ(releases.size(), 1U);
 }
 
-// An error may have been a late second answer to an earlier call on that connection, and the read may go on:
-// its state is let go of once the request is over, again and again, and not under a later attempt.
-TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsLetGoOfAtTheEnd) {
-  EngineListUpdate drains{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
-  drains.entries.front().state = EngineEntry::State::kDraining;
-  const CallKey first = reads(1, kRequest);
-  core.onEngineListUpdate(at(1.05), drains);
+// An error may have been a late second response to an earlier call on that connection, with the prefill still
+// running: its state is released repeatedly once the request is over, and not during a later attempt.
+TEST_F(OrphanedStatesTest, AFailedPrefillIsReleasedAtTheEndOfItsRequest) {
+  EngineListUpdate drain{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
+  drain.entries.front().state = EngineEntry::State::kDraining;
+  const CallKey first = startPrefill(1, kRequest);
+  core.onEngineListUpdate(at(1.05), drain);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   collect(1.1);
   core.onClientDisconnected(at(1.2), kRequest);
   collect(1.2);
-  runTo(4);
+  advanceTo(4);
   EXPECT_GE(releases.size(), 4U);
-  EXPECT_LE(longestGap(), kPinLimit);
+  EXPECT_LE(longestGap(), kLeaseLimit);
 }
 
-TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsForgottenWithTheFirstToken) {
-  const CallKey first = reads(1, kRequest);
+TEST_F(OrphanedStatesTest, AFailedPrefillIsForgottenWithTheFirstToken) {
+  const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
-  CallKey read = 0, write = 0;
-  const auto look = [&](double when) {
+  CallKey prefill = 0, decode = 0;
+  const auto collectAll = [&](double when) {
     for (const Command& command : core.takeCommands()) {
       if (std::holds_alternative<ReleaseState>(command)) releases.push_back(when);
-      if (const auto* const sent = std::get_if<StartPrefill>(&command)) read = sent->call;
-      if (const auto* const sent = std::get_if<StartDecode>(&command)) write = sent->call;
+      if (const auto* const started = std::get_if<StartPrefill>(&command)) prefill = started->call;
+      if (const auto* const started = std::get_if<StartDecode>(&command)) decode = started->call;
     }
   };
-  look(1.1);
-  core.onPrefillEnded(at(1.2), read, "state", 0, {});
-  look(1.2);
-  core.onToken(at(1.3), write, 0, "a");
-  look(1.3);
-  core.onCallEnded(at(1.4), write, Outcome::kOk, 0, {}, "");
-  look(1.4);
-  runTo(4);
+  collectAll(1.1);
+  core.onPrefillEnded(at(1.2), prefill, "state", 0, {});
+  collectAll(1.2);
+  core.onToken(at(1.3), decode, 0, "a");
+  collectAll(1.3);
+  core.onCallEnded(at(1.4), decode, Outcome::kOk, 0, {}, "");
+  collectAll(1.4);
+  advanceTo(4);
   EXPECT_EQ(core.pendingObligations(), 0U);
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
-TEST_F(OrphanedStatesTest, AReadThatWasAnsweredWithAnErrorIsNotLetGoOfUnderALaterAttempt) {
-  const CallKey first = reads(1, kRequest);
+TEST_F(OrphanedStatesTest, AFailedPrefillIsNotReleasedDuringALaterAttempt) {
+  const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey second = 0;
   for (const Command& command : core.takeCommands()) {
-    if (const auto* const read = std::get_if<StartPrefill>(&command)) second = read->call;
+    if (const auto* const prefill = std::get_if<StartPrefill>(&command)) second = prefill->call;
   }
-  ASSERT_NE(second, 0U) << "it is sent again at once";
-  runTo(1.1 + 0.95 * kPinLimit);  // past where others are put off to, before the second is called off
+  ASSERT_NE(second, 0U) << "it is retried immediately";
+  advanceTo(1.1 + 0.95 * kLeaseLimit);  // past the limit of other deferrals, before the second is cancelled
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,4 +1,4 @@
-// The recovery module: when a stream counts as lost, and whether, when and how many go on.
+// The recovery module: when a stream counts as lost, and whether, when and how many are continued.
 #include "gannetcourse/recovery.h"
 
 #include <gtest/gtest.h>
@@ -30,26 +30,27 @@
 class RecoveryTest : public ::testing::Test {
  protected:
   // Streams that bring a token every 50 ms until `end`.
-  void run(StreamKey key, double from, double end, std::size_t classIndex = 0) {
+  void runStream(StreamKey key, double from, double end, std::size_t classIndex = 0) {
     recovery.onStreamStarted(at(from), key, stream(classIndex));
     for (double t = from; t < end; t += 0.05) recovery.onToken(at(t), key, 6);
   }
-  std::vector<StreamKey> moved(Instant now) {
+  std::vector<StreamKey> migrated(Instant now) {
     std::vector<StreamKey> keys;
-    for (const Recovery::Migration& move : recovery.streamsToMigrate(now)) keys.push_back(move.stream);
+    for (const Recovery::Migration& migration : recovery.streamsToMigrate(now))
+      keys.push_back(migration.stream);
     return keys;
   }
   Recovery recovery{limits()};
 };
 
-TEST_F(RecoveryTest, ASafeStreamGoesOn) {
-  run(1, 0, 1);
+TEST_F(RecoveryTest, AnIdempotentStreamIsContinued) {
+  runStream(1, 0, 1);
   EXPECT_EQ(recovery.onStreamLost(at(1), lost(1)).disposition, Disposition::kContinue);
 }
 
-TEST_F(RecoveryTest, AStreamWithAnEffectNeverGoesOn) {
-  run(1, 0, 1, 1);
-  run(2, 0, 1, 2);
+TEST_F(RecoveryTest, AStreamWithAnEffectIsNeverContinued) {
+  runStream(1, 0, 1, 1);
+  runStream(2, 0, 1, 2);
   for (const StreamKey key : {1, 2}) {
     const Decision d = recovery.onStreamLost(at(1), lost(key, key));
     EXPECT_EQ(d.disposition, Disposition::kGiveUp);
@@ -57,21 +58,21 @@
   }
 }
 
-TEST_F(RecoveryTest, GivesUpWhereNothingCanBeGained) {
-  run(1, 0, 1);
+TEST_F(RecoveryTest, GivesUpWhereAContinuationCannotSucceed) {
+  runStream(1, 0, 1);
   LostStream late = lost(1);
   late.timeUntilDeadline = Duration(0.3);
   EXPECT_EQ(recovery.onStreamLost(at(1), late).reason, "no time left");
-  LostStream tried = lost(1);
-  tried.attempts = 5;
-  EXPECT_EQ(recovery.onStreamLost(at(1), tried).reason, "no attempts left");
-  LostStream moved = lost(1);
-  moved.continuations = 3;
-  EXPECT_EQ(recovery.onStreamLost(at(1), moved).reason, "moved too often");
+  LostStream noAttemptsLeft = lost(1);
+  noAttemptsLeft.attempts = 5;
+  EXPECT_EQ(recovery.onStreamLost(at(1), noAttemptsLeft).reason, "no attempts left");
+  LostStream continuedOften = lost(1);
+  continuedOften.continuations = 3;
+  EXPECT_EQ(recovery.onStreamLost(at(1), continuedOften).reason, "moved too often");
   EXPECT_EQ(recovery.onStreamLost(at(1), lost(9)).reason, "its text was not kept");
 }
 
-TEST_F(RecoveryTest, TextPastItsBudgetEndsThat) {
+TEST_F(RecoveryTest, TextBeyondItsBufferLimitPreventsAContinuation) {
   Limits l = limits();
   l.maxBufferedBytesPerStream = 100;
   l.maxBufferedBytes = 150;
@@ -79,113 +80,113 @@
   small.onStreamStarted(at(0), 1, stream(0));
   small.onStreamStarted(at(0), 2, stream(0));
   EXPECT_TRUE(small.onToken(at(0), 1, 90));
-  EXPECT_FALSE(small.onToken(at(0), 2, 70)) << "over the node's";
+  EXPECT_FALSE(small.onToken(at(0), 2, 70)) << "over the router's";
   EXPECT_EQ(small.bufferedBytes(), 90u);
   EXPECT_FALSE(small.onToken(at(0), 1, 20)) << "over the stream's";
   EXPECT_EQ(small.bufferedBytes(), 0u);
-  EXPECT_FALSE(small.onToken(at(0), 1, 1)) << "once lost it stays so";
+  EXPECT_FALSE(small.onToken(at(0), 1, 1)) << "it stays so";
   EXPECT_EQ(small.onStreamLost(at(1), lost(1)).disposition, Disposition::kGiveUp);
 }
 
-TEST_F(RecoveryTest, ASilentStreamIsFoundAndAPauseIsNot) {
-  run(1, 0, 1);
-  run(2, 0, 4);
-  EXPECT_TRUE(moved(at(2.2)).empty()) << "a pause of 1.2 s";
-  EXPECT_EQ(moved(at(4)), std::vector<StreamKey>{1});
+TEST_F(RecoveryTest, ASilentStreamIsMigratedAndAPausingOneIsNot) {
+  runStream(1, 0, 1);
+  runStream(2, 0, 4);
+  EXPECT_TRUE(migrated(at(2.2)).empty()) << "a pause of 1.2 s";
+  EXPECT_EQ(migrated(at(4)), std::vector<StreamKey>{1});
 }
 
-TEST_F(RecoveryTest, WhereAllWritersStandStillNobodyIsMoved) {
-  run(1, 0, 1);
-  run(2, 0, 1);
-  EXPECT_TRUE(moved(at(9)).empty());
+TEST_F(RecoveryTest, NoStreamIsMigratedWhileAllStandStill) {
+  runStream(1, 0, 1);
+  runStream(2, 0, 1);
+  EXPECT_TRUE(migrated(at(9)).empty());
 }
 
-TEST_F(RecoveryTest, AClientThatTakesNothingIsNoSilence) {
-  run(1, 0, 1);
+TEST_F(RecoveryTest, APausedClientIsNoSilence) {
+  runStream(1, 0, 1);
   recovery.onClientPaused(at(1), 1, true);
-  run(2, 0, 5);
-  EXPECT_TRUE(moved(at(5)).empty());
+  runStream(2, 0, 5);
+  EXPECT_TRUE(migrated(at(5)).empty());
   recovery.onClientPaused(at(5), 1, false);
-  run(3, 5, 8);
-  EXPECT_TRUE(moved(at(5.5)).empty()) << "what was held back comes first";
-  EXPECT_EQ(moved(at(8)), (std::vector<StreamKey>{1, 2}));
+  runStream(3, 5, 8);
+  EXPECT_TRUE(migrated(at(5.5)).empty()) << "the tokens that were kept back come first";
+  EXPECT_EQ(migrated(at(8)), (std::vector<StreamKey>{1, 2}));
 }
 
-TEST_F(RecoveryTest, AThirdOfTheWritersGoneIsNoStorm) {
-  for (StreamKey key = 1; key <= 30; ++key) run(key, 0, 1);
-  int goOn = 0;
+TEST_F(RecoveryTest, TheLossOfAThirdOfTheEnginesCausesNoStorm) {
+  for (StreamKey key = 1; key <= 30; ++key) runStream(key, 0, 1);
+  int continued = 0;
   for (StreamKey key = 1; key <= 30; ++key)
-    goOn += recovery.onStreamLost(at(1), lost(key)).disposition == Disposition::kContinue;
-  EXPECT_EQ(goOn, 3) << "the burst";
+    continued += recovery.onStreamLost(at(1), lost(key)).disposition == Disposition::kContinue;
+  EXPECT_EQ(continued, 3) << "the burst";
   EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toContinue.empty());
-  recovery.onPrefillStarted(4000);  // new requests' reads: half as much for continuations
+  recovery.onPrefillStarted(4000);  // of new requests: half as much for continuations
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue.size(), 2u);
   const auto late = recovery.takeDueStreams(at(3));
-  EXPECT_EQ(late.toGiveUp.size(), 25u) << "who waited too long is told so";
+  EXPECT_EQ(late.toGiveUp.size(), 25u) << "streams that waited too long are given up";
   EXPECT_TRUE(recovery.takeDueStreams(at(3.1)).toGiveUp.empty());
 }
 
-TEST_F(RecoveryTest, WorthGoesFirst) {
-  for (StreamKey key = 1; key <= 6; ++key) run(key, 0, 1, key == 6 ? 3 : 0);
+TEST_F(RecoveryTest, TheGreaterPriorityWeightComesFirst) {
+  for (StreamKey key = 1; key <= 6; ++key) runStream(key, 0, 1, key == 6 ? 3 : 0);
   for (StreamKey key = 1; key <= 6; ++key) recovery.onStreamLost(at(1), lost(key, key == 6 ? 3 : 0));
   recovery.onPrefillStarted(2000);
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{6});
 }
 
-TEST_F(RecoveryTest, OffMeansOff) {
+TEST_F(RecoveryTest, DisabledRecoveryContinuesNothing) {
   Limits l = limits();
   l.enabled = false;
-  Recovery off(l);
-  off.onStreamStarted(at(0), 1, stream(0));
-  off.onToken(at(0), 1, 5);
-  EXPECT_EQ(off.onStreamLost(at(1), lost(1)).reason, "recovery is off");
-  EXPECT_TRUE(off.streamsToMigrate(at(9)).empty());
-}
-
-TEST_F(RecoveryTest, AStreamThatMayStillRunWaitsForTheEnginesWordOrTheLease) {
-  run(1, 0, 1);
-  run(2, 0, 1);
-  LostStream off = lost(1);
-  off.attemptEnd = AttemptEnd::kAbandoned;
-  EXPECT_EQ(recovery.onStreamLost(at(1), off).disposition, Disposition::kFenceFirst)
-      << "its engine is asked at once";
-  off.stream = 2;
-  EXPECT_EQ(recovery.onStreamLost(at(1), off).disposition, Disposition::kFenceFirst);
-  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toFence.empty()) << "and not at every look";
+  Recovery disabled(l);
+  disabled.onStreamStarted(at(0), 1, stream(0));
+  disabled.onToken(at(0), 1, 5);
+  EXPECT_EQ(disabled.onStreamLost(at(1), lost(1)).reason, "recovery is off");
+  EXPECT_TRUE(disabled.streamsToMigrate(at(9)).empty());
+}
+
+TEST_F(RecoveryTest, AStreamThatMayStillRunWaitsForItsFenceOrItsLease) {
+  runStream(1, 0, 1);
+  runStream(2, 0, 1);
+  LostStream abandoned = lost(1);
+  abandoned.attemptEnd = AttemptEnd::kAbandoned;
+  EXPECT_EQ(recovery.onStreamLost(at(1), abandoned).disposition, Disposition::kFenceFirst)
+      << "its engine is asked immediately";
+  abandoned.stream = 2;
+  EXPECT_EQ(recovery.onStreamLost(at(1), abandoned).disposition, Disposition::kFenceFirst);
+  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toFence.empty()) << "and not at every check";
   EXPECT_EQ(recovery.onAttemptFenced(at(1.2), 1), Disposition::kContinue);
-  const auto turns = recovery.takeDueStreams(at(1.3));
-  EXPECT_TRUE(turns.toContinue.empty()) << "once";
-  EXPECT_EQ(turns.toFence, std::vector<StreamKey>{2}) << "the silent one is asked again";
+  const auto due = recovery.takeDueStreams(at(1.3));
+  EXPECT_TRUE(due.toContinue.empty()) << "once";
+  EXPECT_EQ(due.toFence, std::vector<StreamKey>{2}) << "the silent one is asked again";
   EXPECT_TRUE(recovery.takeDueStreams(at(2.9)).toContinue.empty());
   EXPECT_EQ(recovery.takeDueStreams(at(3.05)).toContinue, std::vector<StreamKey>{2})
-      << "its lease has run out";
+      << "its lease has expired";
 }
 
-TEST_F(RecoveryTest, AStreamIsNotTakenAwayWhereItCouldNotGoOn) {
-  run(1, 0, 1, 1);
-  run(2, 0, 4);
-  EXPECT_TRUE(moved(at(4)).empty()) << "an unsafe one may still be answered where it is";
+TEST_F(RecoveryTest, AStreamThatCannotBeContinuedIsNotMigrated) {
+  runStream(1, 0, 1, 1);
+  runStream(2, 0, 4);
+  EXPECT_TRUE(migrated(at(4)).empty()) << "it may still complete where it is";
 }
 
-TEST_F(RecoveryTest, ALeavingWritersLongStreamsMoveInWaves) {
+TEST_F(RecoveryTest, LongStreamsOfAnEngineThatShutsDownMigrateInWaves) {
   for (StreamKey key = 1; key <= 6; ++key)
     recovery.onStreamStarted(at(0), key, {0, EngineId{7}, 400, 100, at(60), 0, 2});
   recovery.onStreamStarted(at(0), 7,
-                           {0, EngineId{7}, 400, 22, at(60), 0, 2});  // short: it ends before the writer does
+                           {0, EngineId{7}, 400, 22, at(60), 0, 2});  // short: it ends before its engine does
   recovery.onStreamStarted(at(0), 8, {0, EngineId{8}, 400, 100, at(60), 0, 2});
   for (double t = 0; t < 1; t += 0.05) {
     for (StreamKey key = 1; key <= 8; ++key) recovery.onToken(at(t), key, 6);
   }
-  EXPECT_TRUE(moved(at(1)).empty());
+  EXPECT_TRUE(migrated(at(1)).empty());
   recovery.onEngineShutdownNotice(EngineId{7}, at(2));
   std::vector<StreamKey> all;
-  for (int look = 0; look < 7; ++look) {
-    const auto wave = moved(at(1 + 0.1 * look));
-    EXPECT_LE(wave.size(), 1u) << "spread over the notice";
+  for (int check = 0; check < 7; ++check) {
+    const auto wave = migrated(at(1 + 0.1 * check));
+    EXPECT_LE(wave.size(), 1u) << "spread over the time that is left";
     for (const StreamKey key : wave) {
-      LostStream off = lost(key, 0, 420);
-      off.attemptEnd = AttemptEnd::kAbandoned;
-      recovery.onStreamLost(at(1 + 0.1 * look), off);
+      LostStream abandoned = lost(key, 0, 420);
+      abandoned.attemptEnd = AttemptEnd::kAbandoned;
+      recovery.onStreamLost(at(1 + 0.1 * check), abandoned);
       all.push_back(key);
     }
   }
@@ -193,34 +194,34 @@
   EXPECT_LE(1 + 0.1 * 7, 2 - limits().migrationLeadTime.count() + 1e-9) << "before its end";
 }
 
-TEST_F(RecoveryTest, AFencedStreamWaitsBehindThoseThatWaitForATurn) {
-  for (StreamKey key = 1; key <= 4; ++key) run(key, 0, 1);
+TEST_F(RecoveryTest, AFencedStreamWaitsBehindThoseThatWaitForTheBudget) {
+  for (StreamKey key = 1; key <= 4; ++key) runStream(key, 0, 1);
   recovery.onStreamLost(at(1), lost(1, 0, 3000));
   EXPECT_EQ(recovery.onStreamLost(at(1), lost(2)).disposition, Disposition::kWait);
-  LostStream off = lost(3);
-  off.attemptEnd = AttemptEnd::kAbandoned;
-  recovery.onStreamLost(at(1), off);
+  LostStream abandoned = lost(3);
+  abandoned.attemptEnd = AttemptEnd::kAbandoned;
+  recovery.onStreamLost(at(1), abandoned);
   recovery.onPrefillStarted(2000);
   EXPECT_EQ(recovery.onAttemptFenced(at(1.1), 3), Disposition::kWait);
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{2});
 }
 
-TEST_F(RecoveryTest, AnEngineThatIsStillThereAfterItsEndHasStayed) {
+TEST_F(RecoveryTest, AnEngineThatIsThereAfterItsShutdownTimeHasStayed) {
   recovery.onGoAway(at(0), EngineId{1});
-  run(1, 4, 5);
-  EXPECT_TRUE(moved(at(5)).empty()) << "a process that came back under the same number";
+  runStream(1, 4, 5);
+  EXPECT_TRUE(migrated(at(5)).empty()) << "a process that restarted under the same number";
   recovery.onGoAway(at(5), EngineId{1});
-  EXPECT_EQ(moved(at(5)).size(), 1u) << "and goes again";
+  EXPECT_EQ(migrated(at(5)).size(), 1u) << "and shuts down again";
 }
 
-TEST_F(RecoveryTest, AWriterThatStaysAfterAllKeepsItsStreams) {
-  run(1, 0, 1);
+TEST_F(RecoveryTest, AWithdrawnShutdownNoticeMigratesNothing) {
+  runStream(1, 0, 1);
   recovery.onEngineShutdownNotice(EngineId{1}, at(3));
   recovery.onEngineShutdownNotice(EngineId{1}, {});
-  EXPECT_TRUE(moved(at(1)).empty());
+  EXPECT_TRUE(migrated(at(1)).empty());
 }
 
-TEST_F(RecoveryTest, ASlowingStreamMovesOnlyWhereThatBringsItInTime) {
+TEST_F(RecoveryTest, ASlowStreamIsMigratedOnlyToMeetItsDeadline) {
   recovery.onStreamStarted(at(0), 1, {0, EngineId{2}, 500, 100, at(20), 0, 2});
   recovery.onStreamStarted(at(0), 2, {0, EngineId{2}, 500, 14, at(20), 0, 2});  // ends in time where it is
   for (StreamKey key = 3; key <= 8; ++key) recovery.onStreamStarted(at(0), key, stream(0));
@@ -230,15 +231,16 @@
     if (step % 10 != 0) continue;
     recovery.onToken(now, 1, 6);
     recovery.onToken(now, 2, 6);
-    EXPECT_TRUE(step > 60 || moved(now).empty()) << "not before it lasts";
+    EXPECT_TRUE(step > 60 || migrated(now).empty()) << "not before it lasts";
   }
-  EXPECT_EQ(moved(at(5)), std::vector<StreamKey>{1});
+  EXPECT_EQ(migrated(at(5)), std::vector<StreamKey>{1});
 }
 
-TEST_F(RecoveryTest, AMoveThatTheBudgetCannotPayIsNotBegun) {
-  for (StreamKey key = 1; key <= 5; ++key) run(key, 0, 1);
-  run(9, 0, 4);
-  EXPECT_EQ(moved(at(4)).size(), 2u) << "3000 tokens of burst, 1020 a stream; the rest stay where they are";
+TEST_F(RecoveryTest, AMigrationBeyondTheBudgetIsNotBegun) {
+  for (StreamKey key = 1; key <= 5; ++key) runStream(key, 0, 1);
+  runStream(9, 0, 4);
+  EXPECT_EQ(migrated(at(4)).size(), 2u)
+      << "3000 tokens of burst, 1020 a stream; the rest stay where they are";
 }
 
 }  // namespace
