--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -201,7 +201,7 @@
     a.firstTokenTimeout = Duration(randomBelow(3) == 0 ? 1.5 : 0);
     a.classIndex = static_cast<std::size_t>(randomBelow(3));
     a.isRetry = randomBelow(10) == 0;
-    a.sessionKey = static_cast<std::uint64_t>(1 + randomBelow(20));
+    a.sessionKey = 1 + static_cast<std::uint64_t>(randomBelow(20));
     a.prefixKey = static_cast<std::uint64_t>(randomBelow(4));
     auto payload = std::make_shared<RequestPayload>();
     payload->prompt = "p" + std::to_string(a.key);
@@ -305,8 +305,7 @@
   void executeCommands() {
     std::vector<Command> commands;
     while (core_.takeCommandsInto(commands)) {
-      const std::vector<Command> batch = commands;
-      for (const Command& command : batch) {
+      for (const Command& command : commands) {
         digest_.add(std::visit(commandText_, command));
         std::visit([this](const auto& c) { execute(c); }, command);
       }
--- a/tests/orphaned_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -10,7 +10,6 @@
 
 constexpr double kLeaseLimit = 0.5;
 constexpr RequestKey kRequest = 7;
-constexpr EngineId kPrefillEngine{1};
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
