--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -13,7 +13,8 @@
   const std::size_t out = only<StartAttempt>(host.all).size();
   EXPECT_GE(out, 1U);
   EXPECT_LE(out, 4U);
-  EXPECT_EQ(only<RejectRequest>(host.runUntil(1.9)).size(), 20 - out) << "none is kept past half of its aim";
+  EXPECT_EQ(only<RejectRequest>(host.runUntil(1.9)).size(), 20 - out)
+      << "none stays past half of its objective";
 }
 
 // A hung or slow engine must not keep out requests that go to other engines.
@@ -25,7 +26,7 @@
   for (std::uint32_t id = 1; id <= 10; ++id) entries.push_back(server(id, Role::kPrefill));
   host.engineList(1, entries);
   ASSERT_NE(sentTo(host.feed(1.1, requestOf("hung", 3000, 1))), 0U);
-  host.runUntil(1.4);  // silent, not yet called off
+  host.runUntil(1.4);  // silent, not yet cancelled
   EXPECT_NE(sentTo(host.feed(1.41, requestOf("next", 1000, 2))), 0U);
 }
 
@@ -39,7 +40,8 @@
     settings.classes[0].priorityWeight = 3;
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-    RequestArrived r = requestOf("long", 12000, 1);  // 1.2 s of reading: over half of the other class's aim
+    RequestArrived r =
+        requestOf("long", 12000, 1);  // 1.2 s of prefill: over half of the other class's objective
     r.classIndex = 1;
     r.timeUntilDeadline = Duration(10);
     r.isRetry = marked;
@@ -52,16 +54,17 @@
 // In a queue the headroom is judged by the mean prompt, and a longer one gets its prefill beyond that in
 // addition: else overload would shed just the long ones.
 TEST(AdmissionControl, ALongPromptIsNotTheFirstToBeShedInAQueue) {
-  for (const double prompt : {1000.0, 18000.0}) {  // a quarter of it has to be read: 0.48 s of an aim of 1 s
+  for (const double prompt :
+       {1000.0, 18000.0}) {  // a quarter of it is not cached: 0.48 s of an objective of 1 s
     PolicyHost host(twoStageSettings());
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-    for (int i = 0; i < 4; ++i) {  // 100 tokens each are the usual read
+    for (int i = 0; i < 4; ++i) {  // 100 tokens each are the mean prefill
       const std::string id = "usual" + std::to_string(i);
       host.feed(1.1 + 0.1 * i, requestOf(id, 100, 10 + static_cast<std::uint64_t>(i)));
       host.attemptEnded(1.14 + 0.1 * i, id, 1, Outcome::kPrefilled);
       host.streamStarted(1.15 + 0.1 * i, id, 2);
     }
-    ASSERT_EQ(sentTo(host.feed(1.6, requestOf("ahead", 1500, 1))), 1U);  // read first
+    ASSERT_EQ(sentTo(host.feed(1.6, requestOf("ahead", 1500, 1))), 1U);  // prefilled first
     EXPECT_EQ(sentTo(host.feed(1.61, requestOf("next", prompt, 2))), 1U) << prompt;
   }
 }
@@ -73,11 +76,11 @@
   host.request(1.1, "slow", 100);
   host.attemptEnded(1.15, "slow", 1, Outcome::kPrefilled);
   host.runUntil(2.1);
-  host.streamStarted(2.12, "slow", 2);  // a decodeEngine's wait of about 1 s against an aim of 1 s
+  host.streamStarted(2.12, "slow", 2);  // a decode engine's wait of about 1 s against an objective of 1 s
   host.doHousekeeping(2.14);
   EXPECT_EQ(sentTo(host.request(2.15, "b", 100)), 0U);
-  const auto refused = only<RejectRequest>(host.runUntil(2.8));
-  ASSERT_EQ(refused.size(), 1U) << "answered at half of its aim";
+  const auto rejected = only<RejectRequest>(host.runUntil(2.8));
+  ASSERT_EQ(rejected.size(), 1U) << "answered at half of its objective";
 }
 
 TEST(AdmissionControl, ATenantOverItsQuotaGivesWayFirst) {
@@ -85,8 +88,8 @@
   settings.tenants = {{0.5, 0.01}, {0.5, 100.0}};
   PolicyHost host(settings);
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-  // The decodeEngine took 0.27 s to a first token: requests inside their share wait for that (up to half of
-  // the aim), those beyond it do not (a fifth).
+  // The decode engine took 0.27 s to a first token: requests within their quota may wait for that (up to half
+  // of the objective), those over it may not (a fifth).
   host.request(1.01, "slow", 100);
   host.attemptEnded(1.02, "slow", 1, Outcome::kPrefilled);
   host.streamStarted(1.29, "slow", 2);
@@ -118,7 +121,7 @@
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
   host.request(1.01, "slow", 100);
   host.attemptEnded(1.02, "slow", 1, Outcome::kPrefilled);
-  host.streamStarted(1.29, "slow", 2);  // what lies beyond a share waits for that, what lies within does not
+  host.streamStarted(1.29, "slow", 2);  // requests over a quota wait for that, those within it do not
   host.doHousekeeping(1.295);
   for (const std::string id : {"a", "b"}) {
     RequestArrived r = requestOf(id, 100, 0);
--- a/tests/attempt_manager_test.cpp
+++ b/tests/attempt_manager_test.cpp
@@ -13,13 +13,15 @@
     host.engineList(0, {server(1, Role::kPrefill), server(3, Role::kPrefill), server(2, Role::kDecode)});
     const std::uint32_t preferred = sentTo(host.feed(0, requestOfSession("lost", 5)));
     ASSERT_EQ(sentTo(host.feed(0.05, requestOfSession("next", 5))), preferred);
-    if (overtaken)
-      host.attemptEnded(0.15, "next", preferred, Outcome::kPrefilled), host.streamStarted(0.2, "next", 2);
+    if (overtaken) {
+      host.attemptEnded(0.15, "next", preferred, Outcome::kPrefilled);
+      host.streamStarted(0.2, "next", 2);
+    }
     EXPECT_TRUE(only<CancelAttempt>(host.runUntil(0.4)).empty());
     std::vector<CancelAttempt> cancels = only<CancelAttempt>(host.runUntil(0.8));
-    EXPECT_EQ(cancels.size(), overtaken ? 1U : 2U);  // a server that is silent to all has both called off
+    EXPECT_EQ(cancels.size(), overtaken ? 1U : 2U);  // at an engine that is silent to all both are cancelled
     host.attemptEnded(0.81, "lost", preferred, Outcome::kCancelled);
-    EXPECT_NE(sentTo(host.last), preferred);  // tried elsewhere
+    EXPECT_NE(sentTo(host.last), preferred);  // retried elsewhere
     EXPECT_EQ(sentTo(host.feed(0.82, requestOfSession("after", 5))) == preferred, overtaken);
   }
 }
@@ -31,8 +33,8 @@
   settings.classes[0].ttftObjective = Duration(0.7);
   PolicyHost host(settings);
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
-  // A quarter of 8,000 tokens is expected to take 0.23 s; after thrice that the aim of 0.7 s has all but
-  // passed.
+  // A quarter of 8,000 tokens is expected to take 0.23 s; after three times that the objective of 0.7 s has
+  // nearly passed.
   ASSERT_NE(sentTo(host.feed(1.1, requestOf("long", 8000, 1))), 0U);
   EXPECT_TRUE(only<CancelAttempt>(host.runUntil(2.4)).empty());
   EXPECT_EQ(only<CancelAttempt>(host.runUntil(2.6)).size(), 1U);
@@ -45,11 +47,11 @@
   host.engineList(0, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(4, Role::kPrefill),
                       server(3, Role::kDecode)});
   const std::uint32_t first = sentTo(host.feed(0, requestOf("a", 100, 1)));
-  ASSERT_EQ(only<CancelAttempt>(host.runUntil(0.6)).size(), 1U);  // half of the aim and a little
+  ASSERT_EQ(only<CancelAttempt>(host.runUntil(0.6)).size(), 1U);  // half of the objective and a little
   host.feed(0.61, AttemptEnded{{"a"}, 0, {first}, Outcome::kCancelled, false, 0, Duration(0.6), {}});
   host.feed(0.62, ClientDisconnected{{"a"}});
   ASSERT_NE(sentTo(host.feed(0.7, requestOf("b", 100, 2))), 0U);
-  EXPECT_TRUE(only<CancelAttempt>(host.runUntil(1.5)).empty());  // 0.5 s after it was sent, and more
+  EXPECT_TRUE(only<CancelAttempt>(host.runUntil(1.5)).empty());  // 0.5 s after its start, and more
 }
 
 TEST(AttemptManager, AnAttemptAtASilentEngineIsCancelledAndRetriedElsewhere) {
--- a/tests/decode_selector_test.cpp
+++ b/tests/decode_selector_test.cpp
@@ -12,7 +12,7 @@
                   {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 1), server(3, Role::kDecode, 0)});
   EXPECT_EQ(sentTo(host.request(1.1, "a")), 1U);
   EXPECT_TRUE(only<Reserve>(host.all).empty());
-  // 1,000 tokens: 5 ms inside the cell against 20 ms and the price of leaving it.
+  // 1,000 tokens: 5 ms inside the cell against 20 ms and the cost of leaving it.
   EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 3U);
 }
 
@@ -43,7 +43,8 @@
         sentTo(host.attemptEnded(at + 0.02, id, prefillEngine, Outcome::kPrefilled));
     host.streamStarted(at + 0.04, id, decodeEngine);
     if (decodeEngine == 3)
-      host.attemptEnded(at + 0.3, id, decodeEngine, Outcome::kOk, true);  // those of decodeEngine 2 never end
+      host.attemptEnded(at + 0.3, id, decodeEngine, Outcome::kOk,
+                        true);  // those of decode engine 2 never end
     host.runUntil(at + 0.39);
     if (i >= 30) (decodeEngine == 2 ? toSlow : toOther) += 1;
   }
--- a/tests/engine_health_test.cpp
+++ b/tests/engine_health_test.cpp
@@ -20,7 +20,8 @@
     if (resets > 1) host.attemptEnded(0.03, "b", preferred, Outcome::kReset);
     host.runUntil(0.1);
     if (resets == 1)
-      host.attemptEnded(0.11, "b", preferred, Outcome::kPrefilled);  // it answers: all is well again
+      host.attemptEnded(0.11, "b", preferred,
+                        Outcome::kPrefilled);  // it answers: the connection is good again
     EXPECT_EQ(sentTo(host.feed(0.15, requestOfSession("c", 5))) == preferred, resets == 1);
   }
 }
@@ -58,7 +59,7 @@
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   double at = 1.1;
   int sends = 0;
-  std::uint32_t bad = 0;  // fails everything: the prefillEngine that is picked first
+  std::uint32_t bad = 0;  // fails everything: the prefill engine that is selected first
   for (int i = 0; i < 30; ++i, at += 0.05) {
     const std::string id = "r" + std::to_string(i);
     std::uint32_t to = sentTo(host.request(at, id, 200));
@@ -73,7 +74,7 @@
     host.attemptEnded(at + 0.04, id, 3, Outcome::kOk, true);
   }
   EXPECT_GT(sends, 0);
-  EXPECT_LE(sends, 4) << "two failures eject, one trial a second follows";
+  EXPECT_LE(sends, 4) << "two failures eject, one attempt a second follows";
 }
 
 // A rack that loses power is not found out one engine at a time.
@@ -97,7 +98,7 @@
   }
   std::sort(tried.begin(), tried.end());
   tried.erase(std::unique(tried.begin(), tried.end()), tried.end());
-  EXPECT_LE(tried.size(), 4U) << "the last of the cell are passed over untried";
+  EXPECT_LE(tried.size(), 4U) << "the last of the cell are avoided untried";
 }
 
 // An engine that leaves one class unanswered and serves the other: the other's successes must not hide it,
@@ -110,7 +111,7 @@
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
     double at = 1.1;
-    int ill = 0, healthy = 0, sends = 0;
+    int failing = 0, healthy = 0, sends = 0;
     for (int i = 0; i < 40; ++i, at += 0.06) {
       RequestArrived r = requestOf("r" + std::to_string(i), 200, 1 + static_cast<std::uint64_t>(i));
       const std::size_t part = static_cast<std::size_t>(i % 2);
@@ -120,7 +121,7 @@
         r.classIndex = part;
       std::uint32_t to = sentTo(host.feed(at, r));
       if (to == 1 && part == 0) {
-        ++ill;
+        ++failing;
         to = sentTo(
             host.attemptEnded(at + 0.01, r.id.value, 1, byTenant ? Outcome::kRejected : Outcome::kTimeout));
       }
@@ -131,7 +132,7 @@
       host.attemptEnded(at + 0.04, r.id.value, 3, Outcome::kOk, true);
       host.doHousekeeping(at + 0.05);
     }
-    EXPECT_LE(ill, 5) << "passed over after a failure or two";
+    EXPECT_LE(failing, 5) << "avoided after a failure or two";
     EXPECT_GE(healthy, 4) << "still serves the other";
   }
 }
--- a/tests/engine_registry_test.cpp
+++ b/tests/engine_registry_test.cpp
@@ -16,8 +16,7 @@
     host.request(1.2, "r" + std::to_string(i), 100);
     for (const StartAttempt& send : only<StartAttempt>(host.last)) EXPECT_EQ(send.engine.value, 2U);
   }
-  host.engineList(1.3,
-                  {server(3, Role::kDecode)});  // a full list without the prefillEngines: they are removed
+  host.engineList(1.3, {server(3, Role::kDecode)});  // a snapshot without the prefill engines
   host.request(1.4, "x", 100);
   EXPECT_TRUE(only<StartAttempt>(host.last).empty());
 }
@@ -34,7 +33,7 @@
   EXPECT_EQ(sentTo(host.request(1.2, "a")), 1U);
   host.feed(timers[0].at.time_since_epoch().count(), TimerFired{timers[0].timer});
   EXPECT_EQ(only<SubscribeToEngineList>(host.last).size(), 1U);
-  EXPECT_TRUE(only<SetTimer>(host.last).empty()) << "housekeeping keeps its own pace";
+  EXPECT_TRUE(only<SetTimer>(host.last).empty()) << "housekeeping keeps its own timer";
 }
 
 }  // namespace
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// A bench-free host for one Policy: feeds events, keeps the actions of the last step and of all steps.
+// A host for one Policy without I/O: feeds events, keeps the actions of the last event and of all events.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -68,25 +68,25 @@
     return feed(at, r);
   }
 
-  std::vector<Action>& attemptEnded(double at, const std::string& id, std::uint32_t serverId, Outcome outcome,
-                                    bool over = false, double kept = 0) {
+  std::vector<Action>& attemptEnded(double at, const std::string& id, std::uint32_t engineId, Outcome outcome,
+                                    bool requestFinished = false, double cachedTokens = 0) {
     AttemptEnded e;
     e.id = {id};
-    e.engine = {serverId};
+    e.engine = {engineId};
     e.outcome = outcome;
-    e.requestFinished = over;
-    e.cachedTokens = kept;
+    e.requestFinished = requestFinished;
+    e.cachedTokens = cachedTokens;
     e.elapsed = Duration(0.05);
     return feed(at, e);
   }
 
-  std::vector<Action>& streamStarted(double at, const std::string& id, std::uint32_t serverId) {
-    return feed(at, StreamStarted{{id}, 0, {serverId}, Duration(0.03)});
+  std::vector<Action>& streamStarted(double at, const std::string& id, std::uint32_t engineId) {
+    return feed(at, StreamStarted{{id}, 0, {engineId}, Duration(0.03)});
   }
 
   std::vector<Action>& doHousekeeping(double at) { return feed(at, TimerFired{"sweep"}); }
 
-  // Fires the housekeeping timer every 20 ms up to `until`; gives all actions of that time.
+  /// Fires the housekeeping timer every 20 ms up to `until`; gives all actions of that time.
   std::vector<Action> runUntil(double until) {
     std::vector<Action> seen;
     while (now + 0.02 <= until) {
@@ -110,7 +110,7 @@
   return found;
 }
 
-// The server of the single send among the actions; 0 when there is not exactly one.
+/// The engine of the only attempt started by the actions; 0 where there is not exactly one.
 inline std::uint32_t sentTo(const std::vector<Action>& actions) {
   const auto sends = only<StartAttempt>(actions);
   return sends.size() == 1 ? sends[0].engine.value : 0;
@@ -140,10 +140,11 @@
 }
 
 /// Serves a request to its end on the engines that the policy selects; gives the prefill engine.
-inline std::uint32_t serveToEnd(PolicyHost& host, double at, const RequestArrived& r, double kept = 0) {
+inline std::uint32_t serveToEnd(PolicyHost& host, double at, const RequestArrived& r,
+                                double cachedTokens = 0) {
   const std::uint32_t prefillEngine = sentTo(host.feed(at, r));
-  const std::uint32_t decodeEngine =
-      sentTo(host.attemptEnded(at + 0.05, r.id.value, prefillEngine, Outcome::kPrefilled, false, kept));
+  const std::uint32_t decodeEngine = sentTo(
+      host.attemptEnded(at + 0.05, r.id.value, prefillEngine, Outcome::kPrefilled, false, cachedTokens));
   EXPECT_NE(decodeEngine, 0U);
   host.streamStarted(at + 0.08, r.id.value, decodeEngine);
   host.attemptEnded(at + 0.5, r.id.value, decodeEngine, Outcome::kOk, true);
--- a/tests/load_score_test.cpp
+++ b/tests/load_score_test.cpp
@@ -19,10 +19,10 @@
     const auto serve = [&](double at, const std::string& id, double kept, double figure) {
       const std::uint32_t prefillEngine = sentTo(host.request(at, id));
       if (prefillEngine == 0) return prefillEngine;
-      AttemptEnded read{{id},  0,    {prefillEngine}, Outcome::kPrefilled,
-                        false, kept, Duration(0.05),  LoadReport{}};
-      read.load->memoryUtilization = read.load->slotUtilization = read.load->requestsQueued = figure;
-      host.feed(at + 0.05, read);
+      AttemptEnded prefill{{id},  0,    {prefillEngine}, Outcome::kPrefilled,
+                           false, kept, Duration(0.05),  LoadReport{}};
+      prefill.load->memoryUtilization = prefill.load->slotUtilization = prefill.load->requestsQueued = figure;
+      host.feed(at + 0.05, prefill);
       host.streamStarted(at + 0.06, id, 3);
       host.attemptEnded(at + 0.07, id, 3, Outcome::kOk, true);
       host.doHousekeeping(at + 0.08);
@@ -31,7 +31,8 @@
     for (int i = 0; i < 20; ++i) serve(1.1 + i * 0.1, "before" + std::to_string(i), 100, 0.2);
     serve(4, "absurd", absurdKept ? 1e300 : 100, absurdLoad ? 1e300 : 0.2);
     serve(4.1, "negative", absurdKept ? -1e300 : 100, 0.2);
-    serve(4.2, "no cost", absurdKept ? 1300 : 100, 0.2);  // as many as the prompt's and a read's fixed cost
+    serve(4.2, "no cost", absurdKept ? 1300 : 100,
+          0.2);  // as many as the prompt and the fixed cost of a prefill
     host.runUntil(12);
     std::map<std::uint32_t, int> prefillEngines;
     for (int i = 0; i < 40; ++i)
@@ -40,8 +41,8 @@
   };
   std::map<std::uint32_t, int> usual = spread(false, false), load = spread(false, true);
   EXPECT_EQ(usual[0], 0);
-  EXPECT_EQ(spread(true, false)[0], 0) << "all are let in";
-  EXPECT_EQ(load[0], 0) << "all are let in";
+  EXPECT_EQ(spread(true, false)[0], 0) << "all are admitted";
+  EXPECT_EQ(load[0], 0) << "all are admitted";
   for (const std::uint32_t prefillEngine : {1U, 2U})
     EXPECT_EQ(load[prefillEngine] > 0, usual[prefillEngine] > 0) << prefillEngine;
 }
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -1,6 +1,6 @@
-// Seeded streams of events give the actions that were recorded for them, byte for byte: whoever moves code of
-// the module without meaning to change a decision is told by this test. After a change of a decision that is
-// meant, the file is written anew: GANNETCOURSE_RECORD=1 build-ci/tests/gannetcourse_tests
+// Seeded streams of events give the actions that were recorded for them, byte for byte: the test fails for a
+// change of the code that changes a decision. Where that is intended, the file is recorded anew:
+// GANNETCOURSE_RECORD=1 build-ci/tests/gannetcourse_tests
 // --gtest_filter='*PolicyStreams*'
 #include <gtest/gtest.h>
 
@@ -69,7 +69,7 @@
     for (; now_ < kLength; now_ += 0.02) {
       feed(TimerFired{"sweep"});
       for (int i = draw(3); i > 0; --i) arrive();
-      if (draw(40) == 0) changeServer();
+      if (draw(40) == 0) changeEngine();
       endAttempts();
     }
     feed(SettingsChanged{settings_});
@@ -122,7 +122,7 @@
     feed(r);
   }
 
-  void changeServer() {
+  void changeEngine() {
     EngineEntry& entry = entries_[static_cast<std::size_t>(draw(10))];
     const bool serves = entry.state == EngineEntry::State::kServing;
     entry.state = serves ? EngineEntry::State::kDraining : EngineEntry::State::kServing;
--- a/tests/prefill_selector_test.cpp
+++ b/tests/prefill_selector_test.cpp
@@ -11,12 +11,12 @@
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   const std::uint32_t first = sentTo(host.request(1.1, "a", 800));
   const std::uint32_t second = sentTo(host.request(1.1, "b", 800));
-  EXPECT_EQ(first + second, 3U) << "800 tokens queue at one prefillEngine, none at the other";
+  EXPECT_EQ(first + second, 3U) << "800 tokens queue at one prefill engine, none at the other";
 }
 
 TEST(PrefillSelector, ALongQueueOutweighsCachedTokens) {
   Settings settings = twoStageSettings();
-  settings.classes[0].ttftObjective = Duration(100);  // no holding here: the pick alone is looked at
+  settings.classes[0].ttftObjective = Duration(100);  // no waiting here: only the selection counts
   PolicyHost host(settings);
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   const std::uint32_t prefillEngine = serveToEnd(host, 1.1, requestOf("a", 1000, 42));
--- a/tests/prefix_affinity_test.cpp
+++ b/tests/prefix_affinity_test.cpp
@@ -12,7 +12,7 @@
   PolicyHost host(twoStageSettings());
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   const std::uint32_t prefillEngine = serveToEnd(host, 1.1, requestOf("a", 3000, 42));
-  // 500 tokens queue there and 3,000 of 3,400 are kept: (500 + 300) + 2 * 400 tokens against 2 * 3,400.
+  // 500 tokens queue there and 3,000 of 3,400 are cached: (500 + 300) + 2 * 400 tokens against 2 * 3,400.
   host.feed(2.0, requestOf("filler", 200, 0));
   const std::uint32_t busy = sentTo(host.last);
   EXPECT_EQ(sentTo(host.feed(2.0, requestOf("b", 3400, 42))), prefillEngine) << "filler went to " << busy;
@@ -21,21 +21,21 @@
 TEST(PrefixAffinity, ARestartedEngineHasNothingCached) {
   const std::vector<EngineEntry> both = {server(1, Role::kPrefill), server(2, Role::kPrefill),
                                          server(3, Role::kDecode)};
-  std::uint64_t text = 1;  // a text with its preferred at prefillEngine 2
-  for (std::uint32_t preferred = 0; preferred != 2; ++text) {
+  std::uint64_t prefix = 1;  // a prefix that prefers engine 2
+  for (std::uint32_t preferred = 0; preferred != 2; ++prefix) {
     PolicyHost fresh(twoStageSettings());
     fresh.engineList(1, both);
-    preferred = sentTo(fresh.feed(1.1, requestOf("a", 3000, 0, text + 1, 2900)));
+    preferred = sentTo(fresh.feed(1.1, requestOf("a", 3000, 0, prefix + 1, 2900)));
   }
   PolicyHost host(twoStageSettings());
   host.engineList(1, {server(1, Role::kPrefill), server(3, Role::kDecode)});
-  EXPECT_EQ(serveToEnd(host, 1.1, requestOf("a", 3000, 0, text, 2900)), 1U);
+  EXPECT_EQ(serveToEnd(host, 1.1, requestOf("a", 3000, 0, prefix, 2900)), 1U);
   host.engineList(1.6, both);
-  EXPECT_EQ(serveToEnd(host, 1.7, requestOf("b", 3000, 0, text, 2900)), 1U) << "what it kept counts";
+  EXPECT_EQ(serveToEnd(host, 1.7, requestOf("b", 3000, 0, prefix, 2900)), 1U) << "its cached tokens count";
   EngineEntry again = server(1, Role::kPrefill);
   again.startedAt = Instant(Duration(2.3));
   host.engineList(3, {again}, EngineListUpdate::Scope::kDelta);
-  EXPECT_EQ(serveToEnd(host, 15.1, requestOf("c", 3000, 0, text, 2900)), 2U) << "until it starts anew";
+  EXPECT_EQ(serveToEnd(host, 15.1, requestOf("c", 3000, 0, prefix, 2900)), 2U) << "until it starts anew";
 }
 
 TEST(PrefixAffinity, ASharedPrefixBreaksTiesAlikeOnEveryRouter) {
@@ -70,7 +70,7 @@
   }
   std::sort(preferredEngines.begin(), preferredEngines.end());
   EXPECT_GE(std::unique(preferredEngines.begin(), preferredEngines.end()) - preferredEngines.begin(), 5)
-      << "sessions spread over prefillEngines";
+      << "sessions spread over prefill engines";
 }
 
 // Sessions that begin with one prefix are prefilled where it is cached, on every router; a prefix that half
@@ -86,7 +86,7 @@
   std::vector<std::uint32_t> hot;
   for (std::uint64_t i = 1; i <= 40; ++i) {
     const double at = 1 + 0.6 * static_cast<double>(i);
-    const bool rare = i % 2 == 0;  // each of these texts comes once
+    const bool rare = i % 2 == 0;  // each of these prefixes comes once
     const RequestArrived r = requestOf("a", 1000, 1000 + i, rare ? 500 + i : 7, 700);
     if (!rare) {
       hot.push_back(serveToEnd(one, at, r));
@@ -94,7 +94,7 @@
       RequestArrived again = r;
       again.sessionKey = 2000 + i;
       EXPECT_EQ(serveToEnd(one, at, r), serveToEnd(other, at, again))
-          << "a rare text has one preferred for all sessions";
+          << "a rare prefix has one preferred engine for all sessions";
     }
   }
   std::sort(hot.begin(), hot.end());
--- a/tests/probing_test.cpp
+++ b/tests/probing_test.cpp
@@ -14,8 +14,8 @@
   return report;
 }
 
-// A hundred nodes, reports that tell queues; a prefillEngine told of one some seconds ago.
-PolicyHost hostThatHeardOfQueues(double requests, std::vector<EngineEntry> entries) {
+// A hundred routers, reports with queues; a prefill engine reported one some seconds ago.
+PolicyHost hostWithReportedQueue(double requests, std::vector<EngineEntry> entries) {
   Settings settings = twoStageSettings();
   settings.routerCount = 100;
   settings.probesAllowed = true;
@@ -45,7 +45,7 @@
     const double at = 1.1 + i;
     host.request(at, id, 500);
     for (const Probe& probe : only<Probe>(host.last))
-      EXPECT_EQ(probe.engine.value, 2U) << "the prefillEngine's cell";
+      EXPECT_EQ(probe.engine.value, 2U) << "the prefill engine's cell";
     host.attemptEnded(at + 0.05, id, 1, Outcome::kPrefilled);
     host.streamStarted(at + 0.08, id, 2);
     host.attemptEnded(at + 0.3, id, 2, Outcome::kOk, true);
@@ -59,29 +59,29 @@
 // Most of a prefill engine's queue is other routers': where engines report it, the one selected is probed
 // before the attempt.
 TEST(Probing, QueriesThePrefillEnginesQueueBeforeTheAttempt) {
-  PolicyHost host = hostThatHeardOfQueues(
+  PolicyHost host = hostWithReportedQueue(
       2, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
   host.request(3.1, "a");
   ASSERT_TRUE(only<StartAttempt>(host.last).empty());
   ASSERT_EQ(only<Probe>(host.last).size(), 1U);
   const std::uint32_t first = only<Probe>(host.last)[0].engine.value;
   host.feed(3.102, ProbeEnded{{first}, Outcome::kOk, Duration(0.001), queueOf(4)});
-  ASSERT_EQ(only<Probe>(host.last).size(), 1U) << "the other one looks better now and is asked too";
+  ASSERT_EQ(only<Probe>(host.last).size(), 1U) << "the other one looks better now and is probed too";
   host.feed(3.104, ProbeEnded{{3 - first}, Outcome::kOk, Duration(0.001), queueOf(0)});
   EXPECT_EQ(sentTo(host.last), 3 - first);
   host.request(3.2, "b");
-  EXPECT_EQ(sentTo(host.last), 3 - first) << "what is known is not asked again";
+  EXPECT_EQ(sentTo(host.last), 3 - first) << "what is known is not probed again";
 }
 
 TEST(Probing, ASilentEngineDelaysNoRequest) {
-  PolicyHost host = hostThatHeardOfQueues(2, {server(1, Role::kPrefill), server(3, Role::kDecode)});
+  PolicyHost host = hostWithReportedQueue(2, {server(1, Role::kPrefill), server(3, Role::kDecode)});
   host.request(3.1, "a");
   ASSERT_TRUE(only<StartAttempt>(host.last).empty());
   EXPECT_EQ(only<StartAttempt>(host.runUntil(3.15)).size(), 1U);
 }
 
 TEST(Probing, EnginesWithoutQueuesAreNotProbed) {
-  PolicyHost host = hostThatHeardOfQueues(0, {server(1, Role::kPrefill), server(3, Role::kDecode)});
+  PolicyHost host = hostWithReportedQueue(0, {server(1, Role::kPrefill), server(3, Role::kDecode)});
   EXPECT_EQ(sentTo(host.request(3.1, "a")), 1U);
 }
 
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -9,7 +9,7 @@
 namespace gannetcourse::test {
 namespace {
 
-// A host that plays random outcomes, late lists, restarts and clients that leave, and checks each action.
+// Plays random outcomes, late engine lists, restarts and disconnecting clients, and checks each action.
 class RandomDay {
  public:
   explicit RandomDay(std::uint32_t seed) : random_(seed), settings_(make(random_)), host_(settings_) {}
@@ -20,24 +20,24 @@
     for (int step = 0; step < 6000; ++step) {
       now_ += 0.004;
       if (draw(100) < 12 && step < 5000) arrive();
-      if (draw(1000) < 4) changeServer();
-      answerAttempts();
+      if (draw(1000) < 4) changeEngine();
+      endAttempts();
       if (step % 5 == 0) check(host_.doHousekeeping(now_));
     }
     EXPECT_GT(served_, 20);
-    for (const auto& [id, r] : requests_) EXPECT_TRUE(r.over) << id << " got no answer";
+    for (const auto& [id, r] : requests_) EXPECT_TRUE(r.answered) << id << " got no response";
   }
 
  private:
-  struct Open {
-    double deadline = 0, heldSince = 0, firstRun = -1;
-    bool over = false, streaming = false, held = false, out = false;
-    int sends = 0;
-    std::uint32_t to = 0, ranCell = 0;
-    double until = 0;
-    bool arrived = false;  // the attempt that is out has reached its server
+  struct OpenRequest {
+    double deadline = 0, leasedSince = 0, firstRunAt = -1;
+    bool answered = false, streaming = false, stateLeased = false, inFlight = false;
+    int attempts = 0;
+    std::uint32_t engine = 0, firstRunCell = 0;
+    double endsAt = 0;
+    bool arrived = false;  // the attempt in flight has reached its engine
     bool mayHaveRun = false;
-    Idempotency effect = Idempotency::kIdempotent;
+    Idempotency idempotency = Idempotency::kIdempotent;
   };
 
   static Settings make(std::mt19937& random) {
@@ -65,120 +65,123 @@
     r.sessionKey = static_cast<std::uint64_t>(draw(40));
     r.maxOutputTokens = 200;
     requests_[r.id.value].deadline = now_ + r.timeUntilDeadline.count();
-    requests_[r.id.value].effect = settings_.classes[r.classIndex].idempotency;
+    requests_[r.id.value].idempotency = settings_.classes[r.classIndex].idempotency;
     check(host_.feed(now_, r));
   }
 
-  void changeServer() {
+  void changeEngine() {
     EngineEntry& e = entries_[static_cast<std::size_t>(draw(8))];
     const bool serving = e.state == EngineEntry::State::kServing;
-    e.state = serving ? (draw(2) ? EngineEntry::State::kDraining : EngineEntry::State::kRemoved)
-                      : EngineEntry::State::kServing;
-    if (!serving) e.startedAt = Instant(Duration(now_ - 0.5));
+    if (serving) {
+      e.state = draw(2) != 0 ? EngineEntry::State::kDraining : EngineEntry::State::kRemoved;
+    } else {
+      e.state = EngineEntry::State::kServing;
+      e.startedAt = Instant(Duration(now_ - 0.5));
+    }
     check(host_.engineList(now_, {e}, EngineListUpdate::Scope::kDelta));
   }
 
-  void answerAttempts() {
+  void endAttempts() {
     std::vector<std::string> due;
     for (const auto& [id, r] : requests_) {
-      if (r.out && now_ >= r.until) due.push_back(id);
+      if (r.inFlight && now_ >= r.endsAt) due.push_back(id);
     }
-    for (const std::string& id : due) answer(id, requests_[id]);
+    for (const std::string& id : due) endAttempt(id, requests_[id]);
     for (const auto& [id, r] : requests_) {
-      if (r.held && !(r.out && r.arrived)) {  // one that has not arrived is not out
-        EXPECT_LT(now_ - r.heldSince, settings_.stateLeaseLimit.count()) << id;
+      if (r.stateLeased && !(r.inFlight && r.arrived)) {  // one that has not arrived does not count
+        EXPECT_LT(now_ - r.leasedSince, settings_.stateLeaseLimit.count()) << id;
       }
-      if (!r.over && !r.streaming) {
+      if (!r.answered && !r.streaming) {
         EXPECT_LT(now_, r.deadline) << id;
       }
     }
   }
 
-  void answer(const std::string& id, Open& r) {
-    const bool reads = role(r.to) == Role::kPrefill;
+  void endAttempt(const std::string& id, OpenRequest& r) {
+    const bool prefills = role(r.engine) == Role::kPrefill;
     if (r.streaming) {
-      r.held = r.streaming = r.out = false;
-      r.over = true;
+      r.stateLeased = r.streaming = r.inFlight = false;
+      r.answered = true;
       ++served_;
-      check(host_.attemptEnded(now_, id, r.to, draw(10) ? Outcome::kOk : Outcome::kReset, true));
+      check(host_.attemptEnded(now_, id, r.engine, draw(10) ? Outcome::kOk : Outcome::kReset, true));
       return;
     }
     const int luck = r.arrived ? draw(10) : 9;
-    if (luck < 8 && !reads && !r.over) {
+    if (luck < 8 && !prefills && !r.answered) {
       r.streaming = true;
-      r.held = false;
-      r.until = now_ + 0.5;
-      check(host_.streamStarted(now_, id, r.to));
+      r.stateLeased = false;
+      r.endsAt = now_ + 0.5;
+      check(host_.streamStarted(now_, id, r.engine));
       return;
     }
     Outcome outcome = Outcome::kPrefilled;
-    if (!reads || luck >= 8) {
+    if (!prefills || luck >= 8) {
       const Outcome bad[] = {Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset, Outcome::kError,
                              Outcome::kRejected};
       outcome = bad[draw(r.arrived ? 5 : 3)];
     }
-    r.out = false;
-    if (outcome == Outcome::kPrefilled) r.held = true;
-    if (r.held && r.arrived) r.heldSince = now_;
-    const bool notRun = outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed;
-    if (!reads && !notRun) {
-      if (!r.mayHaveRun) r.ranCell = r.to % 2;
+    r.inFlight = false;
+    if (outcome == Outcome::kPrefilled) r.stateLeased = true;
+    if (r.stateLeased && r.arrived) r.leasedSince = now_;
+    const bool provenNotRun = outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed;
+    if (!prefills && !provenNotRun) {
+      if (!r.mayHaveRun) r.firstRunCell = r.engine % 2;
       r.mayHaveRun = true;
     }
-    check(host_.attemptEnded(now_, id, r.to, outcome, r.over));
+    check(host_.attemptEnded(now_, id, r.engine, outcome, r.answered));
   }
 
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&action)) sent(*send);
-      if (const auto* release = std::get_if<Release>(&action)) released(requests_[release->id.value]);
-      if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
-        Open& r = requests_[refuse->id.value];
-        const bool ran = r.mayHaveRun || (r.out && role(r.to) != Role::kPrefill);
-        EXPECT_TRUE(r.effect == Idempotency::kIdempotent || !ran) << "refused though it may have run";
-        ended(refuse->id.value);
+      if (const auto* start = std::get_if<StartAttempt>(&action)) onStartAttempt(*start);
+      if (const auto* release = std::get_if<Release>(&action)) onRelease(requests_[release->id.value]);
+      if (const auto* reject = std::get_if<RejectRequest>(&action)) {
+        OpenRequest& r = requests_[reject->id.value];
+        const bool ran = r.mayHaveRun || (r.inFlight && role(r.engine) != Role::kPrefill);
+        EXPECT_TRUE(r.idempotency == Idempotency::kIdempotent || !ran) << "rejected though it may have run";
+        onFinalResponse(reject->id.value);
       }
-      if (const auto* fail = std::get_if<FailRequest>(&action)) ended(fail->id.value);
+      if (const auto* fail = std::get_if<FailRequest>(&action)) onFinalResponse(fail->id.value);
     }
   }
 
-  // A writer that waits for the state keeps it.
-  void released(Open& r) {
-    const bool waitsThere = r.out && r.arrived && role(r.to) != Role::kPrefill;
-    if (!waitsThere) r.held = false;
+  // A decode engine that waits for the state keeps it.
+  void onRelease(OpenRequest& r) {
+    const bool waitsThere = r.inFlight && r.arrived && role(r.engine) != Role::kPrefill;
+    if (!waitsThere) r.stateLeased = false;
   }
 
-  void sent(const StartAttempt& send) {
-    Open& r = requests_[send.id.value];
-    const EngineEntry& to = entries_[send.engine.value - 1];
-    EXPECT_FALSE(r.over) << "sent after its end";
-    EXPECT_FALSE(r.out) << "a second attempt at once";
+  void onStartAttempt(const StartAttempt& start) {
+    OpenRequest& r = requests_[start.id.value];
+    const EngineEntry& to = entries_[start.engine.value - 1];
+    EXPECT_FALSE(r.answered) << "started after its end";
+    EXPECT_FALSE(r.inFlight) << "a second attempt in flight";
     EXPECT_EQ(to.state, EngineEntry::State::kServing);
-    EXPECT_LE(++r.sends, settings_.maxAttempts);
-    EXPECT_GT(send.timeout.count(), 0);
-    if (r.mayHaveRun && r.effect != Idempotency::kIdempotent) {
-      EXPECT_EQ(r.effect, Idempotency::kIdempotencyKey) << "an unsafe request went out again";
-      EXPECT_EQ(to.cell, r.ranCell);
-      EXPECT_LE(now_, r.firstRun + 1.5);
+    EXPECT_LE(++r.attempts, settings_.maxAttempts);
+    EXPECT_GT(start.timeout.count(), 0);
+    if (r.mayHaveRun && r.idempotency != Idempotency::kIdempotent) {
+      EXPECT_EQ(r.idempotency, Idempotency::kIdempotencyKey) << "an at-most-once request was retried";
+      EXPECT_EQ(to.cell, r.firstRunCell);
+      EXPECT_LE(now_, r.firstRunAt + 1.5);
     }
-    if (role(to.id.value) != Role::kPrefill && (r.firstRun < 0 || !r.mayHaveRun)) r.firstRun = now_;
-    r.out = true;
-    r.to = send.engine.value;
+    if (role(to.id.value) != Role::kPrefill && (r.firstRunAt < 0 || !r.mayHaveRun)) r.firstRunAt = now_;
+    r.inFlight = true;
+    r.engine = start.engine.value;
     r.arrived = draw(6) > 0;
-    r.until = now_ + std::min(send.timeout.count(), 0.02 + draw(r.arrived ? 20 : 90) * 0.02);
+    r.endsAt = now_ + std::min(start.timeout.count(), 0.02 + draw(r.arrived ? 20 : 90) * 0.02);
   }
 
-  void ended(const std::string& id) {
-    EXPECT_FALSE(requests_[id].over) << id << " got two answers";
+  void onFinalResponse(const std::string& id) {
+    EXPECT_FALSE(requests_[id].answered) << id << " got two responses";
     EXPECT_LE(now_, requests_[id].deadline) << id;
-    requests_[id].over = true;
+    requests_[id].answered = true;
   }
 
   std::mt19937 random_;
   Settings settings_;
   PolicyHost host_;
   std::vector<EngineEntry> entries_;
-  std::map<std::string, Open> requests_;
+  std::map<std::string, OpenRequest> requests_;
   double now_ = 1;
   int count_ = 0, served_ = 0;
 };
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -36,9 +36,9 @@
   PolicyHost host(twoStageSettings());
   host.engineList(1, {}, EngineListUpdate::Scope::kCached);
   host.request(1.1, "a");
-  const auto refused = only<RejectRequest>(host.runUntil(2));
-  ASSERT_EQ(refused.size(), 1U);
-  EXPECT_DOUBLE_EQ(refused[0].retryAfter.count(), 1.0);
+  const auto rejected = only<RejectRequest>(host.runUntil(2));
+  ASSERT_EQ(rejected.size(), 1U);
+  EXPECT_DOUBLE_EQ(rejected[0].retryAfter.count(), 1.0);
   EXPECT_LT(host.now, 1.1 + 4);
 }
 
--- a/tests/retry_safety_test.cpp
+++ b/tests/retry_safety_test.cpp
@@ -63,9 +63,9 @@
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   host.attemptEnded(2.3, "a", decodeEngine,
-                    Outcome::kError);  // 1.1 s after that send, past the window of 1 s
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty()) << "not even to a prefillEngine";
-  EXPECT_EQ(only<RejectRequest>(host.last).size(), 1U) << "given up, so answered at once";
+                    Outcome::kError);  // 1.1 s after that start, past the window of 1 s
+  EXPECT_TRUE(only<StartAttempt>(host.last).empty()) << "not even to a prefill engine";
+  EXPECT_EQ(only<RejectRequest>(host.last).size(), 1U) << "given up, so rejected at once";
   EXPECT_TRUE(only<StartAttempt>(host.runUntil(5.2)).empty());
 }
 
@@ -74,12 +74,12 @@
   for (const double dial : {0.0, 0.25}) {
     Settings settings = settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll);
     settings.connectTimeout = Duration(dial);
-    settings.stateLeaseLimit = Duration(0);  // its state still waits then
+    settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-    host.attemptEnded(2.0, "a", decodeEngine, Outcome::kError);  // 0.8 s after that send, of a window of 1 s
+    host.attemptEnded(2.0, "a", decodeEngine, Outcome::kError);  // 0.8 s after that start, of a window of 1 s
     EXPECT_EQ(only<StartAttempt>(host.last).size(), dial > 0 ? 0U : 1U);
   }
 }
@@ -88,7 +88,7 @@
 TEST(RetrySafety, AKeyedRequestLeavesWithinItsWindowThoughTheMachineStalls) {
   for (const double failsAfter : {0.8, 0.9}) {
     Settings settings = settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll);
-    settings.stateLeaseLimit = Duration(0);  // its state still waits then
+    settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
     host.request(1.1, "a");
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -11,7 +11,7 @@
   settings.classes[0].ttftObjective = Duration(100);
   PolicyHost host(settings);
   host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-  for (int i = 0; i < 100; ++i) {  // a warm prefillEngine takes 20 a second from us
+  for (int i = 0; i < 100; ++i) {  // a warm prefill engine gets 20 a second from this router
     const std::string id = "w" + std::to_string(i);
     ASSERT_EQ(sentTo(host.request(1.1 + i * 0.05, id, 100)), 1U);
     host.attemptEnded(1.12 + i * 0.05, id, 1, Outcome::kPrefilled);
@@ -27,7 +27,8 @@
     for (const StartAttempt& send : only<StartAttempt>(host.last)) sends += send.engine.value == 9;
   }
   EXPECT_GT(sends, 0);
-  // At its start it does 0.3 of 20 a second; 2.5 times that for 2 s are 30, growing a little as it warms.
+  // At its start it bears 0.3 of 20 a second; 2.5 times that for 2 s are 30, and a little more as it warms
+  // up.
   EXPECT_LE(sends, 30);
 }
 
@@ -54,7 +55,7 @@
   }
   host.engineList(1, {entries[0], entries[1]});
   int sends = 0;
-  for (int i = 0; i < 400; ++i) {  // 40 a second, all to the only warm prefillEngine until the others start
+  for (int i = 0; i < 400; ++i) {  // 40 a second, all to the only warm prefill engine until the others start
     if (i == 240) host.engineList(7, {entries[2], entries[3], entries[4]}, EngineListUpdate::Scope::kDelta);
     const double at = 1 + i * 0.025;
     const std::string id = "r" + std::to_string(i);
@@ -66,7 +67,7 @@
     host.streamStarted(at + 0.011, id, 9);
     host.attemptEnded(at + 0.012, id, 9, Outcome::kOk, true);
   }
-  // A warm prefillEngine was seen to take 40 a second from us: 0.3 * 40 * 2.5 * 2 s = 60, of which 0.6 are
+  // A warm prefill engine got 40 a second from this router: 0.3 * 40 * 2.5 * 2 s = 60, of which 0.6 are
   // used.
   EXPECT_LE(sends, 40);
 }
@@ -104,9 +105,9 @@
       }
       return sends;
     };
-    EXPECT_LE(sendsFrom(20.1), 1) << "cold, and nothing is known of what it takes";
+    EXPECT_LE(sendsFrom(20.1), 1) << "warming up, its capacity not known";
     host.runUntil(20 + 10 + 2 + 6);
-    EXPECT_GE(sendsFrom(host.now + 0.01), 9) << "warm once its time is over";
+    EXPECT_GE(sendsFrom(host.now + 0.01), 9) << "warm once its slow start is over";
   }
 }
 
@@ -129,8 +130,8 @@
       (host.now < 3 ? sends : later) += static_cast<int>(now);
     }
   }
-  EXPECT_LE(sends, 6) << "two a window of 2 s are sure to be borne; the rest is chance";
-  EXPECT_GT(later, 0) << "it is not kept out for good";
+  EXPECT_LE(sends, 6) << "two a window of 2 s are borne in any case; the rest is chance";
+  EXPECT_GT(later, 0) << "it is not excluded for good";
 }
 
 }  // namespace
