--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -36,20 +36,34 @@
 
   void handle(Instant now, const Event& event, std::vector<Action>& actions) {
     context_.beginEvent(now, actions);
-    std::visit([this](const auto& e) { on(e); }, event);
+    std::visit(Dispatcher{*this}, event);
     lifecycle_.removeEnded();
   }
 
  private:
-  void on(const EngineListUpdate& update);
-  void on(const RequestArrived& arrival);
-  void on(const AttemptEnded& end);
-  void on(const StreamStarted& start);
-  void on(const ProbeEnded& end);
-  void on(const ReservationResult&) {}  // never reserved: decode engines are selected after the prefill
-  void on(const TimerFired& fired);
-  void on(const ClientDisconnected& disconnected);
-  void on(const SettingsChanged& changed);
+  // Calls the function for the type of the event.
+  struct Dispatcher {
+    Impl& impl;
+    void operator()(const EngineListUpdate& event) const { impl.onEngineListUpdate(event); }
+    void operator()(const RequestArrived& event) const { impl.onRequestArrived(event); }
+    void operator()(const AttemptEnded& event) const { impl.onAttemptEnded(event); }
+    void operator()(const StreamStarted& event) const { impl.onStreamStarted(event); }
+    void operator()(const ProbeEnded& event) const { impl.onProbeEnded(event); }
+    // Capacity is never reserved: decode engines are selected after the prefill.
+    void operator()(const ReservationResult&) const {}
+    void operator()(const TimerFired& event) const { impl.onTimerFired(event); }
+    void operator()(const ClientDisconnected& event) const { impl.onClientDisconnected(event); }
+    void operator()(const SettingsChanged& event) const { impl.onSettingsChanged(event); }
+  };
+
+  void onEngineListUpdate(const EngineListUpdate& update);
+  void onRequestArrived(const RequestArrived& arrival);
+  void onAttemptEnded(const AttemptEnded& end);
+  void onStreamStarted(const StreamStarted& start);
+  void onProbeEnded(const ProbeEnded& end);
+  void onTimerFired(const TimerFired& fired);
+  void onClientDisconnected(const ClientDisconnected& disconnected);
+  void onSettingsChanged(const SettingsChanged& changed);
 
   void applySettings();
   void doHousekeeping();
@@ -80,7 +94,7 @@
   bool started_ = false;  // the first event has come
 };
 
-void Policy::Impl::on(const EngineListUpdate& update) {
+void Policy::Impl::onEngineListUpdate(const EngineListUpdate& update) {
   const bool first = !std::exchange(started_, true);
   if (update.scope == EngineListUpdate::Scope::kFetchFailed) {
     const Duration pause = policy::kEngineListRetryPause * (0.5 + context_.randomUnit());
@@ -93,12 +107,12 @@
   doHousekeeping();
 }
 
-void Policy::Impl::on(const RequestArrived& arrival) {
+void Policy::Impl::onRequestArrived(const RequestArrived& arrival) {
   prompts_.recordPrompt(arrival.promptTokens);
   lifecycle_.open(arrival);
 }
 
-void Policy::Impl::on(const AttemptEnded& end) {
+void Policy::Impl::onAttemptEnded(const AttemptEnded& end) {
   loads_.recordReport(end.engine, end.load);
   policy::Request* const request = lifecycle_.find(end.id);
   if (request == nullptr || !request->attemptInFlight) return;
@@ -107,7 +121,7 @@
   lifecycle_.onAttemptEnded(*request, end);
 }
 
-void Policy::Impl::on(const StreamStarted& start) {
+void Policy::Impl::onStreamStarted(const StreamStarted& start) {
   policy::Request* const request = lifecycle_.find(start.id);
   if (request == nullptr || !request->attemptInFlight) return;
   if (request->stage == policy::RequestStage::kStreaming) return;
@@ -118,7 +132,7 @@
   recorder_.recordStreamStarted(*request, engine);
 }
 
-void Policy::Impl::on(const ProbeEnded& end) {
+void Policy::Impl::onProbeEnded(const ProbeEnded& end) {
   loads_.recordReport(end.engine, end.load);
   lifecycle_.dispatchQueue();
   policy::Engine* const engine = registry_.find(end.engine);
@@ -127,7 +141,7 @@
   }
 }
 
-void Policy::Impl::on(const TimerFired& fired) {
+void Policy::Impl::onTimerFired(const TimerFired& fired) {
   if (fired.timer.value == policy::kEngineListRetryTimer) {
     context_.emit(SubscribeToEngineList{});
   } else {
@@ -135,13 +149,13 @@
   }
 }
 
-void Policy::Impl::on(const ClientDisconnected& disconnected) {
+void Policy::Impl::onClientDisconnected(const ClientDisconnected& disconnected) {
   policy::Request* const request = lifecycle_.find(disconnected.id);
   if (request != nullptr && !request->answered) lifecycle_.abandon(*request);
 }
 
 // What was learned stays; open requests are finished under their class, which keeps its place.
-void Policy::Impl::on(const SettingsChanged& changed) {
+void Policy::Impl::onSettingsChanged(const SettingsChanged& changed) {
   Settings settings = changed.settings;
   settings.zone = context_.settings().zone;
   context_.applySettings(std::move(settings));
