--- a/tests/attempt_manager_test.cpp
+++ b/tests/attempt_manager_test.cpp
@@ -26,8 +26,8 @@
   }
 }
 
-// Under overload all prefills take long. Another attempt that would be late as well is not worth this one's
-// prefill: only after twice the patience is its engine taken for hung.
+// Under overload all prefills take long. Another attempt that would be late as well does not justify
+// throwing this one's prefill away: its engine counts as hung only after twice the patience.
 TEST(AttemptManager, AnAttemptGoesOnWhileAnotherWouldBeLateAsWell) {
   Settings settings = twoStageSettings();
   settings.classes[0].ttftObjective = Duration(0.7);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_P(WarmingEngines, BearTheSumOfAllRouters) {
   double worstOverload = 0;
-  std::size_t sent = 0;
+  std::size_t attempts = 0;
   const std::uint64_t seeds = GetParam().plan.routers > 100 ? 1 : 3;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     FleetPlan plan = GetParam().plan;
@@ -28,12 +28,12 @@
     fleet.restartEngines();
     fleet.run(40);
     worstOverload = std::max(worstOverload, fleet.worstOverload());
-    sent += fleet.attemptsAtRestarted();
+    attempts += fleet.attemptsAtRestarted();
     RecordProperty("worst", std::to_string(worstOverload));
   }
-  std::printf("%s: worst %.2f, sent to cold %zu\n", GetParam().name, worstOverload, sent);
+  std::printf("%s: worst %.2f, attempts at restarted %zu\n", GetParam().name, worstOverload, attempts);
   EXPECT_LE(worstOverload, 1);
-  EXPECT_GT(sent, 0U);  // a budget that allows nothing would keep the rule trivially
+  EXPECT_GT(attempts, 0U);  // a budget that allows nothing would keep the rule trivially
 }
 
 FleetPlan planOf(int routers, double imbalance, double burst, int restarted, bool restart) {
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -11,6 +11,7 @@
 #include <random>
 #include <sstream>
 
+#include "digest.h"
 #include "harness.h"
 
 namespace gannetcourse::test {
@@ -19,7 +20,7 @@
 constexpr std::uint32_t kSeeds = 8;
 constexpr double kLength = 12;  // seconds that a stream lasts
 
-// ---- Actions as text ----
+// ---- Actions as text; the digests were recorded with these words ----
 std::string textOf(const StartAttempt& a) {
   char figures[128];
   std::snprintf(figures, sizeof figures, " %u %.9g %.9g %.9g", a.engine.value, a.timeout.count(),
@@ -39,26 +40,8 @@
 std::string textOf(const SetTimer& a) { return "timer " + a.timer.value; }
 std::string textOf(const Log& a) { return "log " + a.text; }
 
-// FNV-1a.
-class Digest {
- public:
-  void add(const std::string& line) {
-    for (const char c : line + "\n") hash_ = (hash_ ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    ++lines_;
-  }
-  std::string text() const {
-    char out[64];
-    std::snprintf(out, sizeof out, "%016llx %zu", static_cast<unsigned long long>(hash_), lines_);
-    return out;
-  }
-
- private:
-  std::uint64_t hash_ = 0xcbf29ce484222325ULL;
-  std::size_t lines_ = 0;
-};
-
-// One node's events over some seconds: arrivals of sessions and shared prefixes, answers good and bad, load
-// reports, probes, lists, and new settings.
+// One router's events over some seconds: arrivals of sessions and shared prefixes, attempts that end well and
+// badly, load reports, probes, engine lists, and new settings.
 class Stream {
  public:
   explicit Stream(std::uint32_t seed) : random_(seed), settings_(settingsOf(seed)), policy_(settings_) {}
@@ -77,11 +60,11 @@
   }
 
  private:
-  struct Out {
+  struct Attempt {
     std::string id;
-    EngineId server;
-    bool reads = false, streaming = false;
-    double until = 0;
+    EngineId engine;
+    bool prefills = false, streaming = false;
+    double endsAt = 0;
   };
 
   static Settings settingsOf(std::uint32_t seed) {
@@ -124,46 +107,46 @@
 
   void changeEngine() {
     EngineEntry& entry = entries_[static_cast<std::size_t>(draw(10))];
-    const bool serves = entry.state == EngineEntry::State::kServing;
-    entry.state = serves ? EngineEntry::State::kDraining : EngineEntry::State::kServing;
-    if (!serves) entry.startedAt = Instant(Duration(now_ - 0.5));
+    const bool serving = entry.state == EngineEntry::State::kServing;
+    entry.state = serving ? EngineEntry::State::kDraining : EngineEntry::State::kServing;
+    if (!serving) entry.startedAt = Instant(Duration(now_ - 0.5));
     feed(EngineListUpdate{EngineListUpdate::Scope::kDelta, {entry}});
   }
 
   LoadReport report() {
-    LoadReport told;
-    told.requestsQueued = draw(5);
-    told.memoryUtilization = draw(100) * 0.01;
-    return told;
+    LoadReport load;
+    load.requestsQueued = draw(5);
+    load.memoryUtilization = draw(100) * 0.01;
+    return load;
   }
 
   void endAttempts() {
-    std::vector<Out> due;
-    for (const auto& [id, out] : out_) {
-      if (now_ >= out.until) due.push_back(out);
+    std::vector<Attempt> due;
+    for (const auto& [id, attempt] : inFlight_) {
+      if (now_ >= attempt.endsAt) due.push_back(attempt);
     }
-    for (const Out& out : due) endAttempt(out);
+    for (const Attempt& attempt : due) endAttempt(attempt);
   }
 
-  void endAttempt(const Out& out) {
-    const int luck = draw(12);
-    if (!out.reads && !out.streaming && luck < 9) {
-      out_[out.id].streaming = true;
-      out_[out.id].until = now_ + 0.1 + draw(20) * 0.05;
-      return feed(StreamStarted{{out.id}, 0, out.server, Duration(0.03)});
+  void endAttempt(const Attempt& attempt) {
+    const int lot = draw(12);
+    if (!attempt.prefills && !attempt.streaming && lot < 9) {
+      inFlight_[attempt.id].streaming = true;
+      inFlight_[attempt.id].endsAt = now_ + 0.1 + draw(20) * 0.05;
+      return feed(StreamStarted{{attempt.id}, 0, attempt.engine, Duration(0.03)});
     }
     AttemptEnded e;
-    e.id = {out.id};
-    e.engine = out.server;
+    e.id = {attempt.id};
+    e.engine = attempt.engine;
     e.elapsed = Duration(0.02 + draw(10) * 0.01);
-    e.cachedTokens = out.reads ? draw(500) : 0;
+    e.cachedTokens = attempt.prefills ? draw(500) : 0;
     e.load = report();
     const Outcome bad[] = {Outcome::kError,    Outcome::kReset,     Outcome::kConnectFailed,
                            Outcome::kRejected, Outcome::kStateLost, Outcome::kTimeout};
-    const bool good = out.streaming || (out.reads && luck < 9);
-    e.outcome = good ? (out.reads ? Outcome::kPrefilled : Outcome::kOk) : bad[draw(6)];
-    e.requestFinished = out.streaming;
-    out_.erase(out.id);
+    const bool good = attempt.streaming || (attempt.prefills && lot < 9);
+    e.outcome = good ? (attempt.prefills ? Outcome::kPrefilled : Outcome::kOk) : bad[draw(6)];
+    e.requestFinished = attempt.streaming;
+    inFlight_.erase(attempt.id);
     feed(e);
   }
 
@@ -172,29 +155,29 @@
     policy_.handle(Instant(Duration(now_)), event, actions);
     for (const Action& action : actions) {
       digest_.add(std::visit([](const auto& a) { return textOf(a); }, action));
-      if (const auto* send = std::get_if<StartAttempt>(&action)) sent(*send);
-      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) cancelled(cancel->id.value);
+      if (const auto* start = std::get_if<StartAttempt>(&action)) onStartAttempt(*start);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) onCancelAttempt(cancel->id.value);
       if (const auto* probe = std::get_if<Probe>(&action)) probed_.push_back(probe->engine);
     }
     const std::vector<EngineId> probed = std::exchange(probed_, {});
     for (const EngineId id : probed) feed(ProbeEnded{id, Outcome::kOk, Duration(0.005), report()});
   }
 
-  void sent(const StartAttempt& send) {
-    const bool reads = entries_[send.engine.value - 1].role == Role::kPrefill;
+  void onStartAttempt(const StartAttempt& start) {
+    const bool prefills = entries_[start.engine.value - 1].role == Role::kPrefill;
     const double takes = draw(15) == 0 ? 5 : 0.03 + draw(20) * 0.02;
-    out_[send.id.value] = {send.id.value, send.engine, reads, false,
-                           now_ + std::min(takes, send.timeout.count())};
+    inFlight_[start.id.value] = {start.id.value, start.engine, prefills, false,
+                                 now_ + std::min(takes, start.timeout.count())};
   }
 
-  void cancelled(const std::string& id) {
-    const auto it = out_.find(id);
-    if (it == out_.end()) return;
+  void onCancelAttempt(const std::string& id) {
+    const auto it = inFlight_.find(id);
+    if (it == inFlight_.end()) return;
     AttemptEnded e;
     e.id = {id};
-    e.engine = it->second.server;
+    e.engine = it->second.engine;
     e.outcome = Outcome::kCancelled;
-    out_.erase(it);
+    inFlight_.erase(it);
     feed(e);
   }
 
@@ -203,7 +186,7 @@
   Policy policy_;
   Digest digest_;
   std::vector<EngineEntry> entries_;
-  std::map<std::string, Out> out_;
+  std::map<std::string, Attempt> inFlight_;
   std::vector<EngineId> probed_;
   double now_ = 1;
   int count_ = 0;
--- a/tests/prefix_affinity_test.cpp
+++ b/tests/prefix_affinity_test.cpp
@@ -40,14 +40,14 @@
 
 TEST(PrefixAffinity, ASharedPrefixBreaksTiesAlikeOnEveryRouter) {
   Settings settings = twoStageSettings();
-  std::uint32_t picks[2];
-  for (int node = 0; node < 2; ++node) {
-    settings.seed = 100 + static_cast<std::uint64_t>(node);
+  std::uint32_t selected[2];
+  for (int router = 0; router < 2; ++router) {
+    settings.seed = 100 + static_cast<std::uint64_t>(router);
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
-    picks[node] = sentTo(host.feed(1.1, requestOf("a", 500, 0, 99, 400)));
+    selected[router] = sentTo(host.feed(1.1, requestOf("a", 500, 0, 99, 400)));
   }
-  EXPECT_EQ(picks[0], picks[1]);
+  EXPECT_EQ(selected[0], selected[1]);
 }
 
 // With many routers the turns of a session come to different ones, none of which knows where it is cached.
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: what engines that have just started are sent.
+// Slow start: how many attempts engines get that have just started.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -119,8 +119,8 @@
   EngineEntry cold = server(1, Role::kPrefill);
   cold.startedAt = Instant(Duration(0.9));
   int sends = 0, later = 0;
-  for (int node = 0; node < settings.routerCount; ++node) {
-    settings.seed = 1000 + static_cast<std::uint64_t>(node);
+  for (int router = 0; router < settings.routerCount; ++router) {
+    settings.seed = 1000 + static_cast<std::uint64_t>(router);
     PolicyHost host(settings);
     host.engineList(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
     for (int i = 0; i < 45; ++i) {
