--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -38,7 +38,8 @@
 gannetcourse_schema(gannetcourse_discovery ${PROJECT_SOURCE_DIR}/src/discovery/fleet.xsd gannetcourse::discovery
                     engineListSchema)
 gannetcourse_component(engines SOURCES src/engines/grpc_engine_transport.cpp src/engines/call_outcome.cpp LINK gannetcourse_router gannetcourse_discovery)
-gannetcourse_component(frontend SOURCES src/frontend/chat_service.cpp src/frontend/health_service.cpp
+gannetcourse_component(frontend SOURCES src/frontend/chat_service.cpp src/frontend/chat_stream.cpp
+                          src/frontend/request_validator.cpp src/frontend/resume_point.cpp src/frontend/health_service.cpp
                   LINK gannetcourse_router gannetcourse_grpc gannetcourse_resume gannetcourse_proto
                        PkgConfig::XXHASH)
 gannetcourse_component(driver SOURCES src/node/core_driver.cpp LINK gannetcourse_router gannetcourse_net)
--- a/src/frontend/health_service.cpp
+++ b/src/frontend/health_service.cpp
@@ -1,5 +1,7 @@
 #include "frontend/health_service.h"
 
+#include <utility>
+
 #include "gannetcourse/v1/health.pb.h"
 
 namespace gannetcourse::frontend {
@@ -8,50 +10,61 @@
 using ::grpc::health::v1::HealthCheckRequest;
 using ::grpc::health::v1::HealthCheckResponse;
 
-std::string message(bool serving) {
+std::string responseOf(HealthCheckResponse::ServingStatus status) {
   HealthCheckResponse response;
-  response.set_status(serving ? HealthCheckResponse::SERVING : HealthCheckResponse::NOT_SERVING);
+  response.set_status(status);
   return response.SerializeAsString();
 }
 
-// The services that are known by name; the empty name stands for the whole node.
-bool known(const std::string& service) { return service.empty() || service == "gannetcourse.v1.Chat"; }
+std::string servingResponse(bool serving) {
+  return responseOf(serving ? HealthCheckResponse::SERVING : HealthCheckResponse::NOT_SERVING);
+}
+
+// The empty name stands for the whole node.
+bool isKnownService(const std::string& service) {
+  return service.empty() || service == "gannetcourse.v1.Chat";
+}
+
+bool isExpired(const std::weak_ptr<grpc::ServerCall>& watch) { return watch.expired(); }
 
 }  // namespace
 
 HealthService::HealthService(grpc::Server& server, RouterHandle& router) : router_(router) {
-  server.handle("/grpc.health.v1.Health/Check", [this](const std::shared_ptr<grpc::ServerCall>& call,
-                                                       std::string_view bytes) {
-    HealthCheckRequest ask;
-    if (!ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-      return call->finish({grpc::Code::kInvalidArgument, "request: is not a HealthCheckRequest"});
-    if (!known(ask.service())) return call->finish({grpc::Code::kNotFound, "unknown service"});
-    call->send(message(router_.isServing()));
-    call->finish({});
-  });
+  server.handle("/grpc.health.v1.Health/Check",
+                [this](const Call& call, std::string_view bytes) { check(call, bytes); });
   server.handle("/grpc.health.v1.Health/Watch",
-                [this](const std::shared_ptr<grpc::ServerCall>& call, std::string_view bytes) {
-                  HealthCheckRequest ask;
-                  HealthCheckResponse response;
-                  ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-                  if (!known(ask.service())) {  // as the protocol has it, the call stays open
-                    response.set_status(HealthCheckResponse::SERVICE_UNKNOWN);
-                    call->send(response.SerializeAsString());
-                    return;
-                  }
-                  call->send(message(router_.isServing()));
-                  std::erase_if(watches_, [](const auto& watch) { return watch.expired(); });
-                  watches_.push_back(call);
-                });
+                [this](const Call& call, std::string_view bytes) { watch(call, bytes); });
+}
+
+void HealthService::check(const Call& call, std::string_view bytes) {
+  HealthCheckRequest request;
+  if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+    return call->finish({grpc::Code::kInvalidArgument, "request: is not a HealthCheckRequest"});
+  if (!isKnownService(request.service())) return call->finish({grpc::Code::kNotFound, "unknown service"});
+  call->send(servingResponse(router_.isServing()));
+  call->finish({});
+}
+
+void HealthService::watch(const Call& call, std::string_view bytes) {
+  HealthCheckRequest request;
+  request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
+  if (!isKnownService(request.service())) {
+    // The protocol keeps such a watch open: the service might be registered later.
+    call->send(responseOf(HealthCheckResponse::SERVICE_UNKNOWN));
+    return;
+  }
+  call->send(servingResponse(router_.isServing()));
+  std::erase_if(watches_, isExpired);
+  watches_.push_back(call);
 }
 
 void HealthService::onServingMayHaveChanged() {
-  const bool now = router_.isServing();
-  if (now == lastReported_) return;
-  lastReported_ = now;
-  std::erase_if(watches_, [](const auto& watch) { return watch.expired(); });
+  const bool serving = router_.isServing();
+  if (serving == lastReported_) return;
+  lastReported_ = serving;
+  std::erase_if(watches_, isExpired);
   for (const auto& watch : watches_) {
-    if (const auto call = watch.lock()) call->send(message(now));
+    if (const auto call = watch.lock()) call->send(servingResponse(serving));
   }
 }
 
--- a/src/frontend/health_service.h
+++ b/src/frontend/health_service.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <memory>
+#include <string_view>
 #include <vector>
 
 #include "frontend/router_handle.h"
@@ -9,14 +10,21 @@
 
 namespace gannetcourse::frontend {
 
+/// Answers Check and Watch. The server and the router must outlive its last call.
 class HealthService {
  public:
   HealthService(grpc::Server& server, RouterHandle& router);
-  void onServingMayHaveChanged();  // to be called whenever RouterSide::serving() may have changed; tells the
-                                   // watchers
-  void endWatches();               // ends the watches: the node goes down
+
+  /// To be called whenever RouterHandle::isServing() may have changed: notifies the watchers of a change.
+  void onServingMayHaveChanged();
+  /// Ends all watches: the node shuts down.
+  void endWatches();
 
  private:
+  using Call = std::shared_ptr<grpc::ServerCall>;
+  void check(const Call& call, std::string_view bytes);
+  void watch(const Call& call, std::string_view bytes);
+
   RouterHandle& router_;
   std::vector<std::weak_ptr<grpc::ServerCall>> watches_;
   bool lastReported_ = false;
--- /dev/null
+++ b/src/frontend/request_validator.h
@@ -0,0 +1,46 @@
+// Checks Generate requests against the node's settings and turns them into the core's form.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "config/settings.h"
+#include "gannetcourse/router.h"
+#include "gannetcourse/v1/chat.pb.h"
+#include "grpc/protocol.h"
+#include "resume/seal.h"
+
+namespace gannetcourse::frontend {
+
+/// The key of a session or prefix name, the same on all nodes; 0 for the empty name.
+std::uint64_t hashKey(const std::string& name);
+
+/// An INVALID_ARGUMENT status. Its message begins with the field that is wrong.
+grpc::Status invalidArgument(std::string message);
+
+/// Checks one message. Refers to its arguments, which must outlive it.
+class RequestValidator {
+ public:
+  RequestValidator(const config::NodeSettings& settings, const resume::Sealer& sealer,
+                   const v1::GenerateRequest& message)
+      : settings_(settings), sealer_(sealer), message_(message) {}
+
+  /// Fills in the request, but for its key. Otherwise returns the status that tells the client what is wrong.
+  std::optional<grpc::Status> validate(Duration timeUntilDeadline, router::NewRequest& request) const;
+
+ private:
+  std::optional<grpc::Status> checkTenant(router::NewRequest& request) const;
+  std::optional<grpc::Status> checkSizes(const config::ClassLimits& limits) const;
+  std::optional<grpc::Status> checkResume(router::NewRequest& request) const;
+  std::optional<Duration> expectedOutputDuration(std::size_t classIndex) const;
+  std::uint32_t promptTokens() const;
+  std::shared_ptr<const router::RequestPayload> makePayload(const config::ClassLimits& limits) const;
+
+  const config::NodeSettings& settings_;
+  const resume::Sealer& sealer_;
+  const v1::GenerateRequest& message_;
+};
+
+}  // namespace gannetcourse::frontend
