--- a/src/node/core_driver.cpp
+++ b/src/node/core_driver.cpp
@@ -23,14 +23,14 @@
   stopped_ = true;
   loop_.cancelTimer(std::exchange(timer_, 0));
   hooks_ = {};
-  clients_.clear();  // while the fronts that they belong to still stand
+  clients_.clear();  // the frontends that they belong to end next
 }
 
-// ---- From the fronts ----
-void CoreDriver::openRequest(router::RequestKey key, router::NewRequest arrival,
+// ---- From clients ----
+void CoreDriver::openRequest(router::RequestKey key, router::NewRequest request,
                              std::shared_ptr<frontend::ClientStream> client) {
   clients_.emplace(key, std::move(client));
-  step([&](router::Core& core, Instant now) { core.onRequest(now, std::move(arrival)); });
+  step([&](router::Core& core, Instant now) { core.onRequest(now, std::move(request)); });
 }
 
 void CoreDriver::onClientDisconnected(router::RequestKey request) {
@@ -44,22 +44,23 @@
   engines_->pauseStream(core_.streamingCall(request), paused);
 }
 
-// ---- From the engines ----
-void CoreDriver::onPrefillEnded(router::CallKey call, std::string state, double kept,
+// ---- From engines ----
+void CoreDriver::onPrefillEnded(router::CallKey call, std::string stateHandle, double cachedTokens,
                                 std::optional<LoadReport> load) {
-  step(
-      [&](router::Core& core, Instant now) { core.onPrefillEnded(now, call, std::move(state), kept, load); });
+  step([&](router::Core& core, Instant now) {
+    core.onPrefillEnded(now, call, std::move(stateHandle), cachedTokens, load);
+  });
 }
 
 void CoreDriver::onToken(router::CallKey call, std::uint32_t index, std::string text) {
   step([&](router::Core& core, Instant now) { core.onToken(now, call, index, std::move(text)); });
 }
 
-void CoreDriver::onCallEnded(router::CallKey call, Outcome outcome, double kept,
-                             std::optional<LoadReport> load, const std::string& why,
-                             recovery::AttemptEnd ending) {
+void CoreDriver::onCallEnded(router::CallKey call, Outcome outcome, double cachedTokens,
+                             std::optional<LoadReport> load, const std::string& reason,
+                             recovery::AttemptEnd attemptEnd) {
   step([&](router::Core& core, Instant now) {
-    core.onCallEnded(now, call, outcome, kept, load, why, ending);
+    core.onCallEnded(now, call, outcome, cachedTokens, load, reason, attemptEnd);
   });
 }
 
@@ -77,16 +78,18 @@
   step([&](router::Core& core, Instant now) { core.onProbeEnded(now, engine, outcome, elapsed, load); });
 }
 
-void CoreDriver::onReservationResult(router::RequestKey request, EngineId engine, bool held) {
-  step([&](router::Core& core, Instant now) { core.onReservationResult(now, request, engine, held); });
+void CoreDriver::onReservationResult(router::RequestKey request, EngineId engine, bool reserved) {
+  step([&](router::Core& core, Instant now) { core.onReservationResult(now, request, engine, reserved); });
+}
+
+// ---- Commands ----
+// The stream is shared for as long as it is used: a call on it may end it.
+std::shared_ptr<frontend::ClientStream> CoreDriver::findClient(router::RequestKey request) const {
+  const auto it = clients_.find(request);
+  return it == clients_.end() ? nullptr : it->second;
 }
 
-// ---- To both ----
 void CoreDriver::execute(const router::Command& command) {
-  const auto client = [this](router::RequestKey key) {  // kept while it is told: it may leave in that
-    const auto it = clients_.find(key);
-    return it == clients_.end() ? nullptr : it->second;
-  };
   std::visit(Overloaded{
                  [this](const router::StartPrefill& c) { engines_->start(c); },
                  [this](const router::StartDecode& c) { engines_->start(c); },
@@ -94,21 +97,21 @@
                  [this](const router::ReserveCapacity& c) { engines_->reserve(c); },
                  [this](const router::ReleaseState& c) { engines_->releaseState(c); },
                  [this](const router::FenceAttempt& c) { engines_->fenceAttempt(c); },
-                 [&](const router::ResumePoint& c) {
-                   if (const auto side = client(c.request)) side->sendResumePoint(c);
+                 [this](const router::ResumePoint& c) {
+                   if (const auto client = findClient(c.request)) client->sendResumePoint(c);
                  },
-                 [&](const router::SendToken& c) {
-                   if (const auto side = client(c.request)) side->sendToken(c);
+                 [this](const router::SendToken& c) {
+                   if (const auto client = findClient(c.request)) client->sendToken(c);
                  },
                  [this](const router::FinalResponse& c) {
-                   const auto node = clients_.extract(c.request);
-                   if (!node.empty()) node.mapped()->sendFinalResponse(c);
+                   const auto client = clients_.extract(c.request);
+                   if (!client.empty()) client.mapped()->sendFinalResponse(c);
                  },
                  [this](const router::ProbeEngine& c) { engines_->probe(c.engine); },
                  [this](const router::Subscribe&) {
                    if (hooks_.subscribe) hooks_.subscribe();
                  },
-                 [](const router::Fetch&) {},  // a watch begins with the full list
+                 [](const router::Fetch&) {},  // a subscription begins with the whole list
                  [this](const router::Record& c) {
                    if (hooks_.onRecord) hooks_.onRecord(c);
                  },
@@ -116,24 +119,29 @@
              command);
 }
 
+// A command may call back into the driver; the outermost call carries out all commands, in order.
 void CoreDriver::runCommands() {
-  // What is carried out may call back in here; the outermost run does it all, in order.
-  if (std::exchange(runningCommands_, true)) return;
+  if (runningCommands_) return;
+  runningCommands_ = true;
   while (core_.takeCommandsInto(commands_)) {
     for (const router::Command& command : commands_) execute(command);
   }
   runningCommands_ = false;
-  const std::optional<Instant> wake = core_.nextWakeup();
-  if (wake && (timer_ == 0 || *wake != timerDueAt_)) {
-    loop_.cancelTimer(timer_);
-    timerDueAt_ = *wake;
-    timer_ = loop_.runAt(*wake, [this] {
-      timer_ = 0;
-      core_.advance(loop_.now());
-      runCommands();
-      if (hooks_.onTimerTurn) hooks_.onTimerTurn();
-    });
-  }
+  setTimer();
+}
+
+void CoreDriver::setTimer() {
+  const std::optional<Instant> wakeup = core_.nextWakeup();
+  const bool alreadySet = timer_ != 0 && wakeup == timerDueAt_;
+  if (!wakeup || alreadySet) return;
+  loop_.cancelTimer(timer_);
+  timerDueAt_ = *wakeup;
+  timer_ = loop_.runAt(*wakeup, [this] {
+    timer_ = 0;
+    core_.advance(loop_.now());
+    runCommands();
+    if (hooks_.onTimerTurn) hooks_.onTimerTurn();
+  });
 }
 
 }  // namespace gannetcourse::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,66 +1,83 @@
 #include "node/node.h"
 
 #include <algorithm>
-#include <stdexcept>
 #include <utility>
 
 #include "config/reload.h"
 #include "config/settings_difference.h"
+#include "discovery/engine_list_file.h"
 #include "frontend/chat_service.h"
 
 namespace gannetcourse::node {
 namespace {
 
-grpc::ServerOptions serverOptions(const config::NodeSettings& s) {
+constexpr std::uint64_t kMinStreamWindow = 1024;
+constexpr std::uint64_t kMaxStreamWindow = 1 << 30;
+
+grpc::ServerOptions serverOptions(const config::NodeSettings& settings) {
   grpc::ServerOptions options;
-  options.http2.maxStreams = s.maxStreamsPerConnection;
-  options.http2.maxHeaderBytes = s.maxMetadataBytes;
-  options.maxMessageBytes = s.maxMessageBytes;
-  options.maxConnections = s.maxConnections;
+  options.http2.maxStreams = settings.maxStreamsPerConnection;
+  options.http2.maxHeaderBytes = settings.maxMetadataBytes;
+  options.maxMessageBytes = settings.maxMessageBytes;
+  options.maxConnections = settings.maxConnections;
   return options;
 }
 
-grpc::ChannelOptions channelOptions(const config::NodeSettings& s) {
+grpc::ChannelOptions channelOptions(const config::NodeSettings& settings) {
   grpc::ChannelOptions options;
-  // Past the buffer for a slow client an engine may be this much ahead, no more.
+  // How far an engine may be ahead of a client whose buffer is full.
   options.http2.streamWindow =
-      static_cast<std::uint32_t>(std::clamp<std::uint64_t>(s.streamBufferBytes, 1024, 1 << 30));
-  options.maxConnections = s.maxConnectionsPerEngine;
-  options.connectTimeout = s.connectTimeout;
-  // Engines must hear of this node often enough to keep its streams.
-  options.keepaliveEvery = std::min(s.keepaliveInterval, s.recovery.engineLease / 4);
-  options.keepaliveTimeout = s.keepaliveTimeout;
-  options.userAgent = "gannetcourse node/" + s.name + " zone/" + s.zone;
+      static_cast<std::uint32_t>(std::clamp(settings.streamBufferBytes, kMinStreamWindow, kMaxStreamWindow));
+  options.maxConnections = settings.maxConnectionsPerEngine;
+  options.connectTimeout = settings.connectTimeout;
+  // Engines end the streams of a node that they have not heard of for a lease.
+  options.keepaliveEvery = std::min(settings.keepaliveInterval, settings.recovery.engineLease / 4);
+  options.keepaliveTimeout = settings.keepaliveTimeout;
+  options.userAgent = "gannetcourse node/" + settings.name + " zone/" + settings.zone;
   return options;
 }
 
-Settings policySettings(const config::NodeSettings& s) {
-  Settings settings = s.policy;
-  settings.subscribeToDiscovery = !s.registryAddress.empty();
-  return settings;
+Settings policySettings(const config::NodeSettings& settings) {
+  Settings policy = settings.policy;
+  policy.subscribeToDiscovery = !settings.registryAddress.empty();
+  return policy;
+}
+
+router::Options routerOptions(const config::NodeSettings& settings, const std::string& incarnation,
+                              bool recordsEnabled) {
+  router::Options options;
+  options.nodeName = settings.name + "-" + incarnation;
+  options.responseMargin = settings.responseMargin;
+  options.recordsEnabled = recordsEnabled;
+  options.recovery = settings.recovery;
+  return options;
 }
 
-std::unique_ptr<CoreDriver> plainDriver(net::Loop& loop, const Settings& settings, router::Options options,
-                                        CoreDriver::Hooks hooks) {
+std::unique_ptr<CoreDriver> makePlainDriver(net::Loop& loop, const Settings& settings,
+                                            router::Options options, CoreDriver::Hooks hooks) {
   return std::make_unique<CoreDriver>(loop, settings, std::move(options), std::move(hooks));
 }
 
-resume::Sealer sealerOf(const config::NodeSettings& s) {
-  return s.resumeKeyFile.empty() ? resume::Sealer() : resume::Sealer::load(s.resumeKeyFile);
+resume::Sealer loadSealer(const config::NodeSettings& settings) {
+  if (settings.resumeKeyFile.empty()) return {};
+  return resume::Sealer::load(settings.resumeKeyFile);
 }
 
 }  // namespace
 
-Node::Node(net::Loop& loop, config::NodeSettings settings, const std::string& start, Hooks hooks,
+RestartRequired::RestartRequired(std::string setting)
+    : std::invalid_argument("'" + setting + "' changes only with a restart; nothing was changed"),
+      setting_(std::move(setting)) {}
+
+Node::Node(net::Loop& loop, config::NodeSettings settings, const std::string& incarnation, Hooks hooks,
            const DriverFactory& makeDriver)
     : loop_(loop),
       settings_(std::move(settings)),
-      sealer_(sealerOf(settings_)),
+      sealer_(loadSealer(settings_)),
       hooks_(std::move(hooks)),
       resolver_(settings_.zones, net::monotonicNow(), net::unixMillis()),
-      driver_((makeDriver ? makeDriver : plainDriver)(
-          loop, policySettings(settings_),
-          {settings_.name + "-" + start, settings_.responseMargin, bool(hooks_.onRecord), settings_.recovery},
+      driver_((makeDriver ? makeDriver : makePlainDriver)(
+          loop, policySettings(settings_), routerOptions(settings_, incarnation, bool(hooks_.onRecord)),
           driverHooks())),
       transport_(loop, settings_.name, settings_.recovery.engineLease, channelOptions(settings_), *driver_),
       server_(loop, *net::parseEndpoint(settings_.listenAddress), serverOptions(settings_)),
@@ -68,11 +85,12 @@
       engineListCache_(settings_.engineListCacheFile) {
   driver_->attach(transport_);
   frontend::registerChatService(server_, *this);
-  loadInitialList();
+  if (!settings_.registryAddress.empty()) watchRegistry();
+  onEngineList(loadInitialList());
 }
 
 Node::~Node() {
-  driver_->stop();  // calls that end with the server are nobody's any more
+  driver_->stop();  // calls that end with the server reach nobody any more
   hooks_ = {};
 }
 
@@ -83,77 +101,88 @@
     if (registry_) registry_->subscribe();
   };
   hooks.onEngineGoAway = [this](EngineId engine) {
-    log("engines", "info", "engine " + std::to_string(engine.value) + " says that it ends");
+    log("engines", "info", "engine " + std::to_string(engine.value) + " announces its shutdown (GOAWAY)");
   };
   hooks.onTimerTurn = [this] { completeDrainIfIdle(); };
   return hooks;
 }
 
-// The first list is the saved one, which may be old or empty; then come the sources.
-void Node::loadInitialList() {
-  discovery::EngineList first;
-  first.scope = EngineListUpdate::Scope::kCached;
-  if (!settings_.registryAddress.empty()) {
-    registry_ = std::make_unique<discovery::RegistryWatch>(
-        loop_, *net::parseEndpoint(settings_.registryAddress), settings_.name, resolver_,
-        channelOptions(settings_), [this](const discovery::EngineList& list) { onEngineList(list); });
-    if (!settings_.engineListCacheFile.empty()) {
-      try {
-        first.engines = discovery::loadEngineListFile(settings_.engineListCacheFile, resolver_).engines;
-      } catch (const config::InvalidFile& faults) {
-        log("discovery", "warn", std::string("no saved list: ") + faults.what());
-      }
-    }
-  } else {
-    first = discovery::loadEngineListFile(settings_.engineListFile, resolver_);
-    first.scope = EngineListUpdate::Scope::kCached;
+// ---- Engine list ----
+void Node::watchRegistry() {
+  registry_ = std::make_unique<discovery::RegistryWatch>(
+      loop_, *net::parseEndpoint(settings_.registryAddress), settings_.name, resolver_,
+      channelOptions(settings_), [this](const discovery::EngineList& list) { onEngineList(list); });
+}
+
+// The policy's first list counts as a cached one in any case: it may be out of date, or empty.
+discovery::EngineList Node::loadInitialList() const {
+  discovery::EngineList list =
+      registry_ ? loadCachedList() : discovery::loadEngineListFile(settings_.engineListFile, resolver_);
+  list.scope = EngineListUpdate::Scope::kCached;
+  return list;
+}
+
+discovery::EngineList Node::loadCachedList() const {
+  discovery::EngineList list;
+  if (settings_.engineListCacheFile.empty()) return list;
+  try {
+    list.engines = discovery::loadEngineListFile(settings_.engineListCacheFile, resolver_).engines;
+  } catch (const config::InvalidFile& invalid) {
+    log("discovery", "warn", std::string("no cached engine list: ") + invalid.what());
   }
-  onEngineList(first);
+  return list;
 }
 
 void Node::onEngineList(const discovery::EngineList& list) {
-  if (list.scope == EngineListUpdate::Scope::kFetchFailed)
-    log("discovery", "warn", "the registry cannot be heard");
+  using Scope = EngineListUpdate::Scope;
+  if (list.scope == Scope::kFetchFailed) log("discovery", "warn", "the registry cannot be reached");
   engineList_.apply(list);
   transport_.updateEngines(list);
-  driver_->step([&](router::Core& core, Instant now) {
+  driver_->step([&list](router::Core& core, Instant now) {
     core.onEngineListUpdate(now, list.toPolicyUpdate());
     for (const discovery::Engine& engine : list.engines)
       core.onEngineShutdownNotice(now, engine.entry.id, engine.shutdownAt);
   });
   health_.onServingMayHaveChanged();
-  if (list.scope == EngineListUpdate::Scope::kFetchFailed || list.scope == EngineListUpdate::Scope::kCached)
-    return;
+  if (list.scope == Scope::kFetchFailed || list.scope == Scope::kCached) return;
   log("discovery", "info",
       "list version " + std::to_string(list.version) + ": " + std::to_string(list.engines.size()) +
-          " entries, " + std::to_string(engineList_.engines().size()) + " engines in all");
-  if (engineListCache_.failures() > std::exchange(loggedCacheFailures_, engineListCache_.failures()))
-    log("discovery", "warn", "the list could not be saved: " + settings_.engineListCacheFile);
+          " entries, " + std::to_string(engineCount()) + " engines in all");
+  cacheEngineList(list.version);
+}
+
+void Node::cacheEngineList(std::uint64_t version) {
+  const std::uint64_t failures = engineListCache_.failures();
+  if (failures > loggedCacheFailures_)
+    log("discovery", "warn", "the engine list could not be cached: " + settings_.engineListCacheFile);
+  loggedCacheFailures_ = failures;
   engineListCache_.save(
-      discovery::formatEngineList({EngineListUpdate::Scope::kSnapshot, list.version, engineList_.engines()}));
+      discovery::formatEngineList({EngineListUpdate::Scope::kSnapshot, version, engineList_.engines()}));
 }
 
+// ---- Reload ----
+// What may throw comes first: until the core is reconfigured nothing has changed.
 void Node::reload(const config::NodeSettings& settings) {
-  const std::string fixed = config::firstRestartOnlyDifference(settings_, settings);
-  if (!fixed.empty())
-    throw std::invalid_argument("'" + fixed + "' changes only with a restart; nothing was changed");
+  const std::string restartOnly = config::firstRestartOnlyDifference(settings_, settings);
+  if (!restartOnly.empty()) throw RestartRequired(restartOnly);
   config::NodeSettings fresh = config::mergeForReload(settings_, settings);
-  resume::Sealer sealer = sealerOf(fresh);
-  discovery::EntryResolver translator = resolver_;
-  translator.setZones(fresh.zones);
+  resume::Sealer sealer = loadSealer(fresh);
+  discovery::EntryResolver resolver = resolver_;
+  resolver.setZones(fresh.zones);
   std::optional<discovery::EngineList> list;
-  if (!fresh.engineListFile.empty()) list = discovery::loadEngineListFile(fresh.engineListFile, translator);
-  for (const std::string& line : config::describeDifferences(settings_, settings))
-    log("config", "info", line);
+  if (!fresh.engineListFile.empty()) list = discovery::loadEngineListFile(fresh.engineListFile, resolver);
+  for (const std::string& difference : config::describeDifferences(settings_, settings))
+    log("config", "info", difference);
   driver_->step([&](router::Core& core, Instant now) { core.reconfigure(now, policySettings(fresh)); });
   sealer_ = std::move(sealer);
-  resolver_ = std::move(translator);
+  resolver_ = std::move(resolver);
   settings_ = std::move(fresh);
   if (list) onEngineList(*list);
 }
 
-void Node::drain(std::function<void()> done) {
-  onDrained_ = std::move(done);
+// ---- Drain ----
+void Node::drain(std::function<void()> onDrained) {
+  onDrained_ = std::move(onDrained);
   driver_->step([](router::Core& core, Instant now) { core.drain(now); });
   server_.drain();
   health_.onServingMayHaveChanged();
@@ -162,24 +191,25 @@
 }
 
 void Node::completeDrainIfIdle() {
-  if (!onDrained_ || core().pendingObligations() > 0 || transport_.auxiliaryCalls() > 0 ||
-      server_.calls() > 0)
-    return;
-  loop_.defer(std::exchange(onDrained_, nullptr));
+  if (!onDrained_) return;
+  const bool idle =
+      core().pendingObligations() == 0 && transport_.auxiliaryCalls() == 0 && server_.calls() == 0;
+  if (idle) loop_.defer(std::exchange(onDrained_, nullptr));
 }
 
-bool Node::isServing() const { return !core().isDraining() && !engineList_.engines().empty(); }
+// ---- From frontends ----
+bool Node::isServing() const { return !core().isDraining() && engineCount() > 0; }
 
-// ---- From the fronts ----
-void Node::openRequest(router::RequestKey key, router::NewRequest arrival,
+void Node::openRequest(router::RequestKey key, router::NewRequest request,
                        std::shared_ptr<frontend::ClientStream> client) {
-  driver_->openRequest(key, std::move(arrival), std::move(client));
+  driver_->openRequest(key, std::move(request), std::move(client));
 }
 
 void Node::onClientDisconnected(router::RequestKey request) { driver_->onClientDisconnected(request); }
+
 void Node::pauseRequest(router::RequestKey request, bool paused) { driver_->pauseRequest(request, paused); }
 
-void Node::log(const char* package, const char* level, const std::string& text) {
+void Node::log(const char* package, const char* level, const std::string& text) const {
   if (hooks_.log) hooks_.log(package, level, text);
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,15 +1,15 @@
-// A whole router on one event loop: fronts, core, engines' client and list sources. What the daemon runs, and
-// what an embedding program may run as well; two of them share nothing.
+// A whole router on one event loop: frontends, core, engines' client and sources of the engine list. The
+// daemon runs one; an embedding program may run several, which share nothing.
 #pragma once
 
 #include <functional>
 #include <memory>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "config/settings.h"
 #include "discovery/engine_list_cache.h"
-#include "discovery/engine_list_file.h"
 #include "discovery/registry_watch.h"
 #include "engines/grpc_engine_transport.h"
 #include "frontend/health_service.h"
@@ -20,20 +20,34 @@
 
 namespace gannetcourse::node {
 
+/// A reload that changes what only a restart can change.
+class RestartRequired : public std::invalid_argument {
+ public:
+  explicit RestartRequired(std::string setting);
+  /// The first such setting, as the log of a reload names it.
+  const std::string& setting() const { return setting_; }
+
+ private:
+  std::string setting_;
+};
+
+/// All calls are made on the loop's thread; the loop must outlive the node.
 class Node final : private frontend::RouterHandle {
  public:
+  /// Any of them may be empty.
   struct Hooks {
-    std::function<void(const router::Record&)> onRecord;  // each decision; must not block
+    std::function<void(const router::Record&)> onRecord;  ///< Each decision; must not block.
     std::function<void(const std::string& package, const std::string& level, const std::string& text)> log;
   };
-  // Makes what runs the core and carries its commands out.
+  /// Makes the driver of the core.
   using DriverFactory = std::function<std::unique_ptr<CoreDriver>(net::Loop&, const Settings&,
                                                                   router::Options, CoreDriver::Hooks)>;
 
-  // Listens, reads its lists and starts. `start` tells apart the node's lives (request names carry it).
-  // Throws std::system_error where it cannot listen, config::Faults where the fleet file is unusable.
-  // Without a factory it is a plain Driver.
-  Node(net::Loop& loop, config::NodeSettings settings, const std::string& start, Hooks hooks,
+  /// Listens, reads its engine list and starts. `incarnation` tells apart the starts of one node: request
+  /// names carry it. Without a factory the driver is a plain CoreDriver.
+  /// Throws std::system_error where it cannot listen, config::InvalidFile where the engine list's file or the
+  /// key file cannot be used.
+  Node(net::Loop& loop, config::NodeSettings settings, const std::string& incarnation, Hooks hooks,
        const DriverFactory& makeDriver = nullptr);
   ~Node() override;
 
@@ -41,20 +55,21 @@
   const router::Core& core() const { return driver_->core(); }
   std::size_t engineCount() const { return engineList_.engines().size(); }
 
-  // Takes what may change in service, and reads the fleet file again. Throws config::Faults, or
-  // std::invalid_argument naming what needs a restart; then everything stays as it was.
+  /// Puts new settings in service and reads the engine list's file and the key file again. Throws
+  /// config::InvalidFile or RestartRequired; then nothing has changed.
   void reload(const config::NodeSettings& settings);
 
-  // Nothing new; `done` is told once every taken request has its answer and all that was held is let go.
-  void drain(std::function<void()> done);
+  /// Rejects new requests. Calls `onDrained` from the loop once every accepted request has its response and
+  /// every state and reservation is released.
+  void drain(std::function<void()> onDrained);
 
   net::Loop& loop() override { return loop_; }
   const config::NodeSettings& settings() const override { return settings_; }
   const resume::Sealer& sealer() const override { return sealer_; }
 
  private:
-  // ---- frontend::RouterSide ----
-  void openRequest(router::RequestKey key, router::NewRequest arrival,
+  // ---- frontend::RouterHandle ----
+  void openRequest(router::RequestKey key, router::NewRequest request,
                    std::shared_ptr<frontend::ClientStream> client) override;
   router::RequestKey nextRequestKey() override { return driver_->nextRequestKey(); }
   void onClientDisconnected(router::RequestKey request) override;
@@ -62,10 +77,13 @@
   bool isServing() const override;
 
   CoreDriver::Hooks driverHooks();
+  void watchRegistry();
+  discovery::EngineList loadInitialList() const;
+  discovery::EngineList loadCachedList() const;
   void onEngineList(const discovery::EngineList& list);
-  void loadInitialList();
+  void cacheEngineList(std::uint64_t version);
   void completeDrainIfIdle();
-  void log(const char* package, const char* level, const std::string& text);
+  void log(const char* package, const char* level, const std::string& text) const;
 
   net::Loop& loop_;
   config::NodeSettings settings_;
@@ -78,9 +96,9 @@
   frontend::HealthService health_;
   discovery::EngineListState engineList_;
   discovery::EngineListCache engineListCache_;
-  std::uint64_t loggedCacheFailures_ = 0;  // of which the log has been told
-  std::unique_ptr<discovery::RegistryWatch> registry_;
-  std::function<void()> onDrained_;
+  std::uint64_t loggedCacheFailures_ = 0;
+  std::unique_ptr<discovery::RegistryWatch> registry_;  // null: the list comes from a file
+  std::function<void()> onDrained_;                     // set while draining
 };
 
 }  // namespace gannetcourse::node
