--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -11,7 +11,7 @@
 
 #include "grpc/protocol.h"
 #include "http2/session.h"
-#include "net/connection.h"
+#include "net/listener.h"
 
 namespace gannetcourse::grpc {
 
--- a/src/http1/server.cpp
+++ b/src/http1/server.cpp
@@ -11,39 +11,46 @@
 namespace gannetcourse::http1 {
 namespace {
 
-const Duration kSweep{0.1};
-const Duration kQueueWithin{2};  // how long accepting may fail before the listener is closed over its queue
-const Duration kQueueAgain{0.01};
+const Duration kTimeoutCheckInterval{0.1};
+// How long accepting may fail before the listener is closed although connections may wait in its queue.
+const Duration kAcceptQueueTimeout{2};
+const Duration kAcceptQueueRetryDelay{0.01};
 
 }  // namespace
 
+// ---- Exchange ----
 void Exchange::respond(int status, std::string_view fields, std::string_view body, bool close) {
   if (connection_ != nullptr) connection_->respond(status, fields, body, close);
 }
+
 void Exchange::beginStream(std::string_view fields) {
   if (connection_ != nullptr) connection_->beginStream(fields);
 }
+
 void Exchange::sendChunk(std::string_view bytes) {
   if (connection_ != nullptr) connection_->sendChunk(bytes);
 }
+
 void Exchange::endStream() {
   if (connection_ != nullptr) connection_->endStream();
 }
+
 void Exchange::abortStream() {
   if (connection_ != nullptr) connection_->abortStream();
 }
 
+// ---- Server ----
 Server::Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options, Handler handler)
     : loop_(loop),
       options_(options),
       handler_(std::move(handler)),
       listener_(loop, on, [this](int fd) { accept(fd); }) {
-  sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
+  timeoutCheckTimer_ = loop_.runAfter(kTimeoutCheckInterval, [this] { checkTimeouts(); });
 }
 
 Server::~Server() {
   *alive_ = false;
-  loop_.cancelTimer(sweepTimer_);
+  loop_.cancelTimer(timeoutCheckTimer_);
 }
 
 void Server::setOptions(const ServerOptions& options) { options_ = options; }
@@ -58,102 +65,98 @@
   connections_.push_back(std::make_unique<ServerConnection>(*this, fd));
 }
 
-// Closes a connection that is ended already, else the one that has gone longest without a request; those that
-// never had one go first. What the kernel holds of a request is read before its connection is chosen for
-// good.
+// False where no connection can be closed in favour of a new one. What the kernel holds of a request is read
+// before its connection is closed: with a complete request in it the connection is not idle.
 bool Server::evictConnection() {
   for (std::size_t tries = connections_.size(); tries > 0; --tries) {
-    ServerConnection* const victim = chooseEvictable();
-    if (victim == nullptr) return false;
-    if (victim->readPendingRequest()) continue;
-    if (*victim->removed_) return true;  // its client had left
+    ServerConnection* const candidate = chooseEvictable();
+    if (candidate == nullptr) return false;
+    if (candidate->readPendingRequest()) continue;
+    if (candidate->isRemoved()) return true;  // reading showed that its client had disconnected
     ++counters_.evicted;
-    victim->close();
+    candidate->close();
     return true;
   }
   return false;
 }
 
 ServerConnection* Server::chooseEvictable() const {
-  ServerConnection* victim = nullptr;
-  for (const auto& c : connections_) {
-    const ServerPhase phase = c->state_.phase();
-    const bool begun = c->hadRequest_ && phase == ServerPhase::kReceiving;
-    if (phase == ServerPhase::kResponding || phase == ServerPhase::kFlushing || *c->removed_ || begun)
-      continue;
-    const auto rank = [](const ServerConnection& s) {
-      return std::tuple(s.state_.phase() != ServerPhase::kLingering, s.hadRequest_, s.phaseStartedAt_);
-    };
-    if (victim == nullptr || rank(*c) < rank(*victim)) victim = c.get();
+  ServerConnection* chosen = nullptr;
+  for (const auto& connection : connections_) {
+    if (!connection->isEvictable()) continue;
+    if (chosen == nullptr || connection->evictionRank() < chosen->evictionRank()) chosen = connection.get();
   }
-  return victim;
-}
-
-// What is done to one connection may close it or others: they are dropped from the list at once, but live on
-// to the end of this iteration.
-template <class Step>
-void Server::forEachConnection(const Step& step) {
-  std::vector<ServerConnection*> all;
-  all.reserve(connections_.size());
-  for (const auto& c : connections_) all.push_back(c.get());
-  for (ServerConnection* const c : all) {
-    if (!*c->removed_) step(*c);
+  return chosen;
+}
+
+// The action may close its connection or others: these leave the list at once, but are destroyed at the end
+// of this iteration.
+template <class Action>
+void Server::forEachConnection(const Action& action) {
+  std::vector<ServerConnection*> snapshot;
+  snapshot.reserve(connections_.size());
+  for (const auto& connection : connections_) snapshot.push_back(connection.get());
+  for (ServerConnection* const connection : snapshot) {
+    if (!connection->isRemoved()) action(*connection);
   }
 }
 
-void Server::sweep() {
-  forEachConnection([this](ServerConnection& c) { c.checkTimeouts(loop_.now()); });
-  sweepTimer_ = loop_.runAfter(kSweep, [this] { sweep(); });
+void Server::checkTimeouts() {
+  forEachConnection([this](ServerConnection& connection) { connection.checkTimeouts(loop_.now()); });
+  timeoutCheckTimer_ = loop_.runAfter(kTimeoutCheckInterval, [this] { checkTimeouts(); });
 }
 
 void Server::removeConnection(ServerConnection* connection) {
-  if (std::exchange(*connection->removed_, true)) return;
-  const auto it = std::find_if(connections_.begin(), connections_.end(),
-                               [&](const auto& c) { return c.get() == connection; });
-  std::shared_ptr<ServerConnection> gone(it->release());
-  connections_.erase(it);
-  loop_.defer([gone] {});
+  if (connection->isRemoved()) return;
+  connection->markRemoved();
+  const auto found = std::find_if(connections_.begin(), connections_.end(),
+                                  [&](const auto& one) { return one.get() == connection; });
+  std::shared_ptr<ServerConnection> keepUntilIterationEnds(found->release());
+  connections_.erase(found);
+  loop_.defer([keepUntilIterationEnds] {});
 }
 
 void Server::drain() {
   draining_ = true;
-  forEachConnection([](ServerConnection& c) { c.drain(); });
+  forEachConnection([](ServerConnection& connection) { connection.drain(); });
 }
 
 void Server::shutdown() {
   draining_ = true;
-  closeListenerBy_ = loop_.now() + kQueueWithin;
+  closeListenerBy_ = loop_.now() + kAcceptQueueTimeout;
   closeListener();
 }
 
-// Closing the listener would reset those that stand in its queue.
+// Closing the listener resets the connections in its queue, so that these are accepted first.
 void Server::closeListener() {
   if (!listener_.acceptPending() && loop_.now() < *closeListenerBy_) {
-    loop_.runAfter(kQueueAgain, [this, alive = alive_] {
+    loop_.runAfter(kAcceptQueueRetryDelay, [this, alive = alive_] {
       if (*alive) closeListener();
     });
     return;
   }
   closeListenerBy_.reset();
   listener_.close();
-  forEachConnection([](ServerConnection& c) { c.closeUnlessRequested(); });
+  forEachConnection([](ServerConnection& connection) { connection.closeUnlessRequested(); });
 }
 
 std::size_t Server::busyCount() const {
-  const auto busy = std::count_if(connections_.begin(), connections_.end(),
-                                  [](const auto& c) { return !c->state().isBetweenRequests(); });
-  return static_cast<std::size_t>(busy) + (closeListenerBy_ ? 1 : 0);
+  const auto busy = std::count_if(connections_.begin(), connections_.end(), [](const auto& connection) {
+    return !connection->state().isBetweenRequests();
+  });
+  const std::size_t listener = closeListenerBy_ ? 1 : 0;
+  return static_cast<std::size_t>(busy) + listener;
 }
 
 std::size_t Server::unsentBytes() const {
   std::size_t sum = 0;
-  for (const auto& c : connections_) sum += c->unsentBytes();
+  for (const auto& connection : connections_) sum += connection->unsentBytes();
   return sum;
 }
 
 std::uint64_t Server::bufferedRequestBytes() const {
   std::uint64_t sum = 0;
-  for (const auto& c : connections_) sum += c->bufferedBytes();
+  for (const auto& connection : connections_) sum += connection->bufferedBytes();
   return sum;
 }
 
--- a/src/http1/server.h
+++ b/src/http1/server.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 towards clients: connections within bounds, one request at a time on each, answers whole or as a
-// stream of chunks. Knows nothing of what the requests mean.
+// The server side of HTTP/1.1: a bounded number of connections, one request at a time on each, responses
+// complete or as a stream of chunks. Does not know what the requests mean.
 #pragma once
 
 #include <functional>
@@ -11,72 +11,80 @@
 
 #include "http1/parser.h"
 #include "net/connection.h"
+#include "net/listener.h"
 #include "net/loop.h"
 
 namespace gannetcourse::http1 {
 
+/// Limits of a Server.
 struct ServerOptions {
-  Limits limits;
-  std::size_t maxConnections = 512;
-  std::uint64_t maxBufferedRequestBytes = 32U << 20;  // bytes of requests that are not whole yet
-  Duration requestTimeout{2.7};    // a connection's first request, and the rest of one begun
-  Duration idleTimeout{15};        // a connection without a request is closed after it
-  Duration writeStallTimeout{20};  // ... and one whose client takes nothing
-  Duration lingerTimeout{1};       // after our sending has ended, for the client to end as well
+  Limits limits;                                      ///< Of each request.
+  std::size_t maxConnections = 512;                   ///< From all clients together.
+  std::uint64_t maxBufferedRequestBytes = 32U << 20;  ///< Of incomplete requests on all connections.
+  Duration requestTimeout{2.7};    ///< For a connection's first request, and for the rest of one begun.
+  Duration idleTimeout{15};        ///< Closes a connection between two requests.
+  Duration writeStallTimeout{20};  ///< Closes a connection whose client does not read its response.
+  Duration lingerTimeout{1};       ///< After our direction is shut down, for the client to close too.
 };
 
-// What became of connections, since the start.
+/// What became of connections, since the start.
 struct ServerCounters {
   std::uint64_t accepted = 0;
-  std::uint64_t evicted = 0;        // idle ones that were closed to make room
-  std::uint64_t closedAtLimit = 0;  // new ones for which no room could be made
-  std::uint64_t rejected = 0;       // requests that could not be read, or did not come in time
-  std::uint64_t timedOut = 0;       // ended as a phase had lasted too long
-  std::uint64_t abandoned = 0;      // whose client left while its request was answered
+  std::uint64_t evicted = 0;        ///< Idle ones closed in favour of new ones.
+  std::uint64_t closedAtLimit = 0;  ///< New ones in favour of which none could be closed.
+  std::uint64_t rejected = 0;       ///< Requests that were malformed or did not arrive in time.
+  std::uint64_t timedOut = 0;       ///< Closed because a phase exceeded its time limit.
+  std::uint64_t abandoned = 0;      ///< Whose client disconnected before its response was complete.
 };
 
 class ServerConnection;
 
-// A request and its one answer. Kept by whoever answers; after the client has left, answers go nowhere.
+/// A request and its one response. Shared with the handler, which may keep it; once the client has
+/// disconnected the functions do nothing.
 class Exchange {
  public:
   explicit Exchange(ServerConnection* connection) : connection_(connection) {}
   Request request;
-  std::function<void()> onClientDisconnected;  // the client has left before the answer's end
-  std::function<void(bool)> onBackpressure;    // it takes nothing more for now, and does again
+  /// Called when the client disconnects before the response is complete.
+  std::function<void()> onClientDisconnected;
+  /// Called with true when the client reads too slowly, with false when output may go on.
+  std::function<void(bool)> onBackpressure;
 
-  // A whole answer. `fields` are lines that end with CRLF.
+  /// Sends a complete response. `fields` are lines that end with CRLF.
   void respond(int status, std::string_view fields, std::string_view body, bool close = false);
-  void beginStream(std::string_view fields);  // 200, chunked
+  /// Starts a chunked response with status 200.
+  void beginStream(std::string_view fields);
   void sendChunk(std::string_view bytes);
   void endStream();
-  void abortStream();  // closes the connection without the last chunk
+  /// Closes the connection without the last chunk, so that the client sees the response as incomplete.
+  void abortStream();
 
  private:
   friend class ServerConnection;
-  ServerConnection* connection_;
+  ServerConnection* connection_;  // null once the response is complete or the client has disconnected
 };
 
+/// Listens, owns the connections and limits them. For its loop's thread only.
 class Server {
  public:
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
-  // Throws std::system_error where the address cannot be had.
+  /// Listens at once. Throws std::system_error where the address cannot be bound.
   Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options, Handler handler);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
   std::uint16_t port() const { return listener_.port(); }
-  void setOptions(const ServerOptions& options);  // bounds only
-  // From now on each answer ends its connection, and those between two requests are ended.
+  void setOptions(const ServerOptions& options);
+  /// From now on each response ends its connection, and idle connections are ended.
   void drain();
-  // Takes what stands in the kernel's queue, then no new connections, and ends those on which nothing is
-  // asked. busy() tells when all have ended.
+  /// Accepts what stands in the kernel's queue, then stops listening and ends the connections without a
+  /// request. busyCount() is 0 when all have ended.
   void shutdown();
   std::size_t connectionCount() const { return connections_.size(); }
-  // Connections that have more to do than to wait for a request, and a listener that cannot be closed yet.
+  /// Connections that are not between two requests, and 1 for a listener that cannot be closed yet.
   std::size_t busyCount() const;
-  std::size_t unsentBytes() const;  // of answers that clients have not taken
+  std::size_t unsentBytes() const;  ///< Of responses that the kernel has not accepted.
   std::uint64_t failedAccepts() const { return listener_.failedAccepts(); }
   const ServerCounters& counters() const { return counters_; }
 
@@ -86,11 +94,11 @@
   void accept(int fd);
   bool evictConnection();
   ServerConnection* chooseEvictable() const;
-  template <class Step>
-  void forEachConnection(const Step& step);
-  void sweep();
+  template <class Action>
+  void forEachConnection(const Action& action);
+  void checkTimeouts();
   void closeListener();
-  void removeConnection(ServerConnection* connection);  // at the end of this iteration
+  void removeConnection(ServerConnection* connection);
   std::uint64_t bufferedRequestBytes() const;
 
   net::Loop& loop_;
@@ -99,9 +107,9 @@
   Connections connections_;
   ServerCounters counters_;
   bool draining_ = false;
-  std::optional<Instant> closeListenerBy_;  // while end() waits for the queue: when it waits no more
-  net::TimerId sweepTimer_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::optional<Instant> closeListenerBy_;  // while shutdown() waits for the kernel's queue
+  net::TimerId timeoutCheckTimer_ = 0;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; for deferred tasks
   net::Listener listener_;
 };
 
--- a/src/http1/server_connection.cpp
+++ b/src/http1/server_connection.cpp
@@ -9,27 +9,35 @@
 namespace gannetcourse::http1 {
 namespace {
 
-const char* reasonOf(int status) {
+constexpr int kBadRequest = 400;
+constexpr int kRequestTimeout = 408;
+constexpr int kContentTooLarge = 413;
+constexpr int kServiceUnavailable = 503;
+
+// While less than this part of the pipeline's limit waits, the server's total is not computed.
+constexpr std::size_t kPipelineCheckDivisor = 8;
+
+const char* reasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
-    case 400:
+    case kBadRequest:
       return "Bad Request";
     case 404:
       return "Not Found";
     case 405:
       return "Method Not Allowed";
-    case 408:
+    case kRequestTimeout:
       return "Request Timeout";
     case 409:
       return "Conflict";
-    case 413:
+    case kContentTooLarge:
       return "Content Too Large";
     case 431:
       return "Request Header Fields Too Large";
     case 502:
       return "Bad Gateway";
-    case 503:
+    case kServiceUnavailable:
       return "Service Unavailable";
     case 504:
       return "Gateway Timeout";
@@ -38,7 +46,7 @@
   }
 }
 
-std::string hexOf(std::size_t value) {
+std::string toHex(std::size_t value) {
   std::array<char, 2 * sizeof value> text{};
   return {text.data(), std::to_chars(text.data(), text.data() + text.size(), value, 16).ptr};
 }
@@ -49,13 +57,15 @@
     : server_(server),
       connection_(server.loop_, *this),
       parser_(server.options_.limits),
+      rejectStatus_(kBadRequest),
       phaseStartedAt_(server.loop_.now()) {
   connection_.adopt(fd);
 }
 
+// ---- Responses ----
 void ServerConnection::respond(int status, std::string_view fields, std::string_view body, bool close) {
   const bool last = close || !keepAlive_ || server_.draining_;
-  std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
+  std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonPhrase(status) + "\r\n";
   text.append(fields).append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   if (last) text += "Connection: close\r\n";
   text.append("\r\n").append(body);
@@ -65,69 +75,54 @@
 
 void ServerConnection::beginStream(std::string_view fields) {
   std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
-  text.append(fields).append(keepAlive_ && !server_.draining_ ? "\r\n" : "Connection: close\r\n\r\n");
+  text.append(fields);
+  if (!keepAlive_ || server_.draining_) text.append("Connection: close\r\n");
+  text.append("\r\n");
   connection_.append(text);
 }
 
 void ServerConnection::sendChunk(std::string_view bytes) {
-  std::string text = hexOf(bytes.size()) + "\r\n";
+  std::string text = toHex(bytes.size()) + "\r\n";
   text.append(bytes).append("\r\n");
   connection_.append(text);
   connection_.flush();
-  if (exchange_ && !connection_.wantsOutput() && !std::exchange(backpressure_, true) &&
-      exchange_->onBackpressure)
-    exchange_->onBackpressure(true);
+  if (!exchange_ || connection_.wantsOutput() || backpressure_) return;
+  backpressure_ = true;
+  if (exchange_->onBackpressure) exchange_->onBackpressure(true);
 }
 
-bool ServerConnection::readPendingRequest() {
-  const bool mayAsk = state_.isBetweenRequests() || state_.phase() == ServerPhase::kReceiving;
-  if (!mayAsk || !connection_.isConnected()) return false;
-  const std::uint64_t before = requestsDispatched_;
-  connection_.readNow();
-  return requestsDispatched_ != before;
+void ServerConnection::endStream() {
+  connection_.append("0\r\n\r\n");
+  finishResponse(!keepAlive_ || server_.draining_);
 }
 
-void ServerConnection::closeUnlessRequested() {
-  if (state_.isBetweenRequests() && connection_.isConnected()) connection_.readNow();
-  if (state_.isBetweenRequests()) handleEvent(ServerEvent::kTimedOut);
-}
-
-void ServerConnection::checkTimeouts(Instant now) {
-  if (connection_.pendingBytes() == 0 || connection_.pendingBytes() != lastPendingBytes_)
-    lastProgressAt_ = now;
-  lastPendingBytes_ = connection_.pendingBytes();
-  if (now <= phaseDeadline()) return;
-  ++server_.counters_.timedOut;
-  handleEvent(ServerEvent::kTimedOut);
-}
-
-Instant ServerConnection::phaseDeadline() const {
-  const ServerOptions& o = server_.options_;
-  switch (state_.phase()) {
-    case ServerPhase::kNew:
-    case ServerPhase::kReceiving:
-      return phaseStartedAt_ + o.requestTimeout;
-    case ServerPhase::kIdle:
-      return connection_.pendingBytes() > 0 ? lastProgressAt_ + o.writeStallTimeout
-                                            : phaseStartedAt_ + o.idleTimeout;
-    case ServerPhase::kResponding:
-      return std::max(phaseStartedAt_, lastProgressAt_) + o.writeStallTimeout;
-    case ServerPhase::kFlushing:
-      return std::max(phaseStartedAt_, lastProgressAt_) + o.requestTimeout;
-    default:
-      return phaseStartedAt_ + o.lingerTimeout;
-  }
+void ServerConnection::finishResponse(bool last) {
+  detachExchange();
+  backpressure_ = false;
+  handleEvent(last ? ServerEvent::kLastResponseComplete : ServerEvent::kResponseComplete);
+  connection_.flush();
+  if (!connection_.isOpen()) return;
+  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
+  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;
+  server_.loop_.defer([this, alive = server_.alive_, removed = removed_] {
+    if (*alive && !*removed && state_.phase() == ServerPhase::kIdle) parsePipelined();
+  });
 }
 
+// ---- State machine ----
 void ServerConnection::handleEvent(ServerEvent event) {
   const ServerPhase before = state_.phase();
   const ServerAction action = state_.handle(event);
   if (state_.phase() != before) phaseStartedAt_ = server_.loop_.now();
+  perform(action, event);
+}
+
+void ServerConnection::perform(ServerAction action, ServerEvent event) {
   switch (action) {
     case ServerAction::kDispatchRequest:
       return dispatchRequest();
     case ServerAction::kRejectRequest:
-      return sendRejection(event == ServerEvent::kTimedOut ? 408 : rejectStatus_);
+      return sendRejection(event == ServerEvent::kTimedOut ? kRequestTimeout : rejectStatus_);
     case ServerAction::kFlushOutput:
       return continueAfterFlush();
     case ServerAction::kShutdownWrite:
@@ -143,17 +138,76 @@
   }
 }
 
+void ServerConnection::checkTimeouts(Instant now) {
+  const std::size_t pending = connection_.pendingBytes();
+  if (pending == 0 || pending != lastPendingBytes_) lastProgressAt_ = now;
+  lastPendingBytes_ = pending;
+  if (now <= phaseDeadline()) return;
+  ++server_.counters_.timedOut;
+  handleEvent(ServerEvent::kTimedOut);
+}
+
+Instant ServerConnection::phaseDeadline() const {
+  const ServerOptions& options = server_.options_;
+  switch (state_.phase()) {
+    case ServerPhase::kNew:
+    case ServerPhase::kReceiving:
+      return phaseStartedAt_ + options.requestTimeout;
+    case ServerPhase::kIdle:
+      if (connection_.pendingBytes() > 0) return lastProgressAt_ + options.writeStallTimeout;
+      return phaseStartedAt_ + options.idleTimeout;
+    case ServerPhase::kResponding:
+      return std::max(phaseStartedAt_, lastProgressAt_) + options.writeStallTimeout;
+    case ServerPhase::kFlushing:
+      return std::max(phaseStartedAt_, lastProgressAt_) + options.requestTimeout;
+    default:
+      return phaseStartedAt_ + options.lingerTimeout;
+  }
+}
+
+void ServerConnection::continueAfterFlush() {
+  if (connection_.pendingBytes() > 0) return;
+  setReadingPaused(false);
+  handleEvent(ServerEvent::kOutputFlushed);
+}
+
+void ServerConnection::notifyClientDisconnected() {
+  ++server_.counters_.abandoned;
+  const std::shared_ptr<Exchange> exchange = exchange_;
+  detachExchange();
+  if (exchange && exchange->onClientDisconnected) exchange->onClientDisconnected();
+}
+
+void ServerConnection::detachExchange() {
+  if (exchange_) exchange_->connection_ = nullptr;
+  exchange_.reset();
+}
+
+void ServerConnection::close() {
+  connection_.close();
+  server_.removeConnection(this);
+}
+
+// ---- Requests ----
 void ServerConnection::onBytes(std::span<const std::uint8_t> bytes) {
   if (!state_.isReadingRequests()) return discardInput(bytes.size());
-  if (!parser_.append({reinterpret_cast<const char*>(bytes.data()), bytes.size()}))
-    return state_.isResponding() ? handleEvent(ServerEvent::kPeerClosed) : rejectInput(413);
-  if (exchange_)
-    return setReadingPaused(isPipelineFull());  // for later: past the bound the client has to wait
+  if (!parser_.append({reinterpret_cast<const char*>(bytes.data()), bytes.size()})) {
+    if (state_.isResponding()) return handleEvent(ServerEvent::kPeerClosed);
+    return rejectInput(kContentTooLarge);
+  }
+  if (exchange_) return setReadingPaused(isPipelineFull());
   if (state_.phase() == ServerPhase::kIdle && isOutputFull()) return setReadingPaused(true);
   handleEvent(ServerEvent::kBytesReceived);
   parseInput();
-  if (state_.phase() == ServerPhase::kIdle)
-    setReadingPaused(isPipelineFull());  // answered at once; the rest takes its turn
+  // Answered at once: what follows the request is parsed in a later iteration.
+  if (state_.phase() == ServerPhase::kIdle) setReadingPaused(isPipelineFull());
+}
+
+void ServerConnection::onWritable() {
+  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
+  if (state_.phase() == ServerPhase::kIdle) return parsePipelined();
+  if (!exchange_ || !std::exchange(backpressure_, false)) return;
+  if (exchange_->onBackpressure) exchange_->onBackpressure(false);
 }
 
 void ServerConnection::discardInput(std::size_t bytes) {
@@ -162,24 +216,25 @@
 }
 
 void ServerConnection::parseInput() {
-  const ParseState state = parser_.parse();
-  if (state == ParseState::kMalformed) return rejectInput(parser_.errorStatus());
-  if (state == ParseState::kComplete) return handleEvent(ServerEvent::kRequestComplete);
-  if (parser_.bufferedBytes() > server_.options_.limits.maxHeadBytes &&
-      server_.bufferedRequestBytes() > server_.options_.maxBufferedRequestBytes)
-    return rejectInput(503);
+  const ParseState parsed = parser_.parse();
+  if (parsed == ParseState::kMalformed) return rejectInput(parser_.errorStatus());
+  if (parsed == ParseState::kComplete) return handleEvent(ServerEvent::kRequestComplete);
+  const ServerOptions& options = server_.options_;
+  if (parser_.bufferedBytes() > options.limits.maxHeadBytes &&
+      server_.bufferedRequestBytes() > options.maxBufferedRequestBytes)
+    return rejectInput(kServiceUnavailable);
   setReadingPaused(false);
 }
 
 void ServerConnection::dispatchRequest() {
-  exchange_ = std::make_shared<Exchange>(this);
-  exchange_->request = std::move(parser_.request());
-  keepAlive_ = exchange_->request.keepAlive;
+  const auto exchange = std::make_shared<Exchange>(this);
+  exchange_ = exchange;
+  exchange->request = std::move(parser_.request());
+  keepAlive_ = exchange->request.keepAlive;
   parser_.next();
   hadRequest_ = true;
   ++requestsDispatched_;
-  const std::shared_ptr<Exchange> held = exchange_;
-  server_.handler_(held);
+  server_.handler_(exchange);
 }
 
 void ServerConnection::rejectInput(int status) {
@@ -193,58 +248,55 @@
   respond(status, "", "the request cannot be read or did not come in time\n", true);
 }
 
-void ServerConnection::finishResponse(bool last) {
-  detachExchange();
-  backpressure_ = false;
-  handleEvent(last ? ServerEvent::kLastResponseComplete : ServerEvent::kResponseComplete);
-  connection_.flush();
-  if (!connection_.isOpen()) return;
-  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
-  if (parser_.started() && state_.phase() == ServerPhase::kIdle) {
-    server_.loop_.defer([this, alive = server_.alive_, dropped = removed_] {
-      if (*alive && !*dropped && state_.phase() == ServerPhase::kIdle) parsePipelined();
-    });
-  }
-}
-
 bool ServerConnection::isPipelineFull() const {
-  const std::size_t most = server_.options_.limits.maxPipelinedBytes;
-  if (parser_.unparsedBytes() < most / 8) return false;
-  return parser_.unparsedBytes() >= most ||
-         server_.bufferedRequestBytes() > server_.options_.maxBufferedRequestBytes;
+  const std::size_t limit = server_.options_.limits.maxPipelinedBytes;
+  if (parser_.unparsedBytes() < limit / kPipelineCheckDivisor) return false;
+  if (parser_.unparsedBytes() >= limit) return true;
+  return server_.bufferedRequestBytes() > server_.options_.maxBufferedRequestBytes;
 }
 
 void ServerConnection::parsePipelined() {
-  if (isOutputFull()) return;  // onWritable() goes on
+  if (isOutputFull()) return;  // onWritable() continues
   setReadingPaused(isPipelineFull());
-  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;  // it has gone, or has been read
+  // Resuming to read may have closed the connection or dispatched the request.
+  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;
   handleEvent(ServerEvent::kBytesReceived);
   parseInput();
 }
 
-void ServerConnection::continueAfterFlush() {
-  if (connection_.pendingBytes() > 0) return;
-  setReadingPaused(false);
-  handleEvent(ServerEvent::kOutputFlushed);
+void ServerConnection::setReadingPaused(bool paused) {
+  if (connection_.isReadingPaused() != paused) connection_.pauseReading(paused);
 }
 
-void ServerConnection::onWritable() {
-  if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
-  if (state_.phase() == ServerPhase::kIdle) return parsePipelined();
-  if (exchange_ && std::exchange(backpressure_, false) && exchange_->onBackpressure)
-    exchange_->onBackpressure(false);
+// ---- Eviction and shutdown ----
+bool ServerConnection::readPendingRequest() {
+  const bool canReceive = state_.isBetweenRequests() || state_.phase() == ServerPhase::kReceiving;
+  if (!canReceive || !connection_.isConnected()) return false;
+  const std::uint64_t before = requestsDispatched_;
+  connection_.readNow();
+  return requestsDispatched_ != before;
 }
 
-void ServerConnection::notifyClientDisconnected() {
-  ++server_.counters_.abandoned;
-  const std::shared_ptr<Exchange> left = exchange_;
-  detachExchange();
-  if (left && left->onClientDisconnected) left->onClientDisconnected();
+void ServerConnection::closeUnlessRequested() {
+  if (state_.isBetweenRequests() && connection_.isConnected()) connection_.readNow();
+  if (state_.isBetweenRequests()) handleEvent(ServerEvent::kTimedOut);
 }
 
-void ServerConnection::close() {
-  connection_.close();
-  server_.removeConnection(this);
+bool ServerConnection::isEvictable() const {
+  switch (state_.phase()) {
+    case ServerPhase::kResponding:
+    case ServerPhase::kFlushing:
+      return false;
+    case ServerPhase::kReceiving:
+      return !isRemoved() && !hadRequest_;
+    default:
+      return !isRemoved();
+  }
+}
+
+std::tuple<bool, bool, Instant> ServerConnection::evictionRank() const {
+  const bool lingering = state_.phase() == ServerPhase::kLingering;
+  return {!lingering, hadRequest_, phaseStartedAt_};
 }
 
 }  // namespace gannetcourse::http1
--- a/src/http1/server_connection.h
+++ b/src/http1/server_connection.h
@@ -1,10 +1,11 @@
-// One connection from a client: feeds its life's state machine (life.h) and carries out what that says.
+// One connection from a client: feeds the state machine of connection_state.h and carries out its actions.
 #pragma once
 
 #include <cstdint>
 #include <memory>
 #include <span>
 #include <string_view>
+#include <tuple>
 
 #include "http1/connection_state.h"
 #include "http1/parser.h"
@@ -13,33 +14,40 @@
 
 namespace gannetcourse::http1 {
 
+/// Owned by its Server, which removes it once it is closed; destroyed at the end of that iteration of the
+/// loop, so that it may close itself in its own callbacks.
 class ServerConnection final : public net::ConnectionOwner {
  public:
+  /// Takes over the accepted socket.
   ServerConnection(Server& server, int fd);
   ~ServerConnection() override { detachExchange(); }
 
-  // ---- The answer to the request at hand; see Exchange ----
+  // ---- The response to the request in progress; see Exchange ----
   void respond(int status, std::string_view fields, std::string_view body, bool close);
   void beginStream(std::string_view fields);
   void sendChunk(std::string_view bytes);
-  void endStream() {
-    connection_.append("0\r\n\r\n");
-    finishResponse(!keepAlive_ || server_.draining_);
-  }
-
+  void endStream();
   void abortStream() { finishResponse(true); }
 
-  void close();  // at once; its server drops it
+  // ---- For its server ----
+  /// Closes at once; its server removes it.
+  void close();
   void drain() { handleEvent(ServerEvent::kDrain); }
-  // Reads what the kernel holds. True where that was the end of a request, which is answered now.
+  /// Reads what the kernel holds. True where that completed a request, which has been dispatched.
   bool readPendingRequest();
-  // A request that the kernel holds already is read and answered; a connection without one is ended.
+  /// Dispatches a request that the kernel holds already; without one the connection ends.
   void closeUnlessRequested();
+  /// Ends the present phase where it has exceeded its time limit.
+  void checkTimeouts(Instant now);
+  /// Whether it may be closed in favour of a new connection.
+  bool isEvictable() const;
+  /// The least is evicted first: lingering ones, then those that never had a request, then the longest idle.
+  std::tuple<bool, bool, Instant> evictionRank() const;
+  bool isRemoved() const { return *removed_; }
+  void markRemoved() { *removed_ = true; }
   const ServerConnectionState& state() const { return state_; }
   std::uint64_t bufferedBytes() const { return parser_.bufferedBytes(); }
   std::size_t unsentBytes() const { return connection_.pendingBytes(); }
-  // Ends the phase that it is in where that has lasted too long.
-  void checkTimeouts(Instant now);
 
  private:
   // ---- net::ConnectionOwner ----
@@ -50,53 +58,47 @@
 
   // The one place where the state machine is driven and its actions are carried out.
   void handleEvent(ServerEvent event);
-  // When the phase that it is in has lasted too long.
+  void perform(ServerAction action, ServerEvent event);
   Instant phaseDeadline() const;
 
-  // Whether the client leaves as much of its earlier answers unread as may wait. Until it reads on, its next
-  // request is not taken up, or its answers would pile up here.
+  // Whether the client leaves as much output unread as may wait. Until it reads on, its next request is not
+  // parsed, or responses would pile up here.
   bool isOutputFull() const { return connection_.pendingBytes() >= net::Connection::kWatermark; }
-
-  // What comes behind a last answer is dropped, up to a bound.
+  // Input after the last response, up to a bound.
   void discardInput(std::size_t bytes);
-
-  void parseInput();               // what has come, up to the end of one request
-  void dispatchRequest();          // hands a whole request on
-  void rejectInput(int status);    // what has come is no request, or too much
-  void sendRejection(int status);  // the answer to such a one, as the last on the connection
-  void finishResponse(bool last);  // the answer is whole
-
-  // Whether as much waits behind a request as may. Reading on is what shows that a client has gone: an end
-  // that comes behind bytes that nobody reads cannot be seen.
+  // Parses what is buffered, up to the end of one request.
+  void parseInput();
+  void dispatchRequest();
+  void rejectInput(int status);
+  void sendRejection(int status);
+  // The response is complete, or aborted; `last`: the connection is not kept alive.
+  void finishResponse(bool last);
+  // Whether as much waits behind the request in progress as may. Reading on is what reveals a disconnect: an
+  // end that arrives behind bytes that nobody reads cannot be seen.
   bool isPipelineFull() const;
-
-  // A request whose bytes came while another was answered.
+  // Parses a request whose bytes arrived while another was in progress.
   void parsePipelined();
+  void continueAfterFlush();
+  void setReadingPaused(bool paused);
+  void notifyClientDisconnected();
+  void detachExchange();
 
-  void continueAfterFlush();  // goes on once all output is with the kernel
-  void setReadingPaused(bool held) {
-    if (connection_.isReadingPaused() != held) connection_.pauseReading(held);
-  }
-
-  void notifyClientDisconnected();  // tells who answers that the client has left
-  void detachExchange() {
-    if (exchange_) exchange_->connection_ = nullptr;
-    exchange_.reset();
-  }
-
-  friend class Server;
   Server& server_;
   net::Connection connection_;
   RequestParser parser_;
   ServerConnectionState state_;
-  std::shared_ptr<Exchange> exchange_;
-  std::shared_ptr<bool> removed_ = std::make_shared<bool>(false);  // true: dropped
-  bool keepAlive_ = true, hadRequest_ = false, backpressure_ = false;
-  int rejectStatus_ = 400;
-  Instant phaseStartedAt_;  // when its phase began
-  Instant lastProgressAt_{};
+  std::shared_ptr<Exchange> exchange_;  // null while no request is in progress
+  // True once the server has removed it; shared with deferred tasks, which may outlive it.
+  std::shared_ptr<bool> removed_ = std::make_shared<bool>(false);
+  bool keepAlive_ = true;
+  bool hadRequest_ = false;
+  bool backpressure_ = false;  // the handler was notified that the client reads too slowly
+  int rejectStatus_;
+  Instant phaseStartedAt_;
+  Instant lastProgressAt_{};  // when the client last took output, or none was pending
   std::size_t lastPendingBytes_ = 0;
-  std::uint64_t discardedBytes_ = 0, requestsDispatched_ = 0;
+  std::uint64_t discardedBytes_ = 0;
+  std::uint64_t requestsDispatched_ = 0;
 };
 
 }  // namespace gannetcourse::http1
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -2,6 +2,7 @@
 #include "grpc/channel.h"
 
 #include "engines/fleet.h"
+#include "net/listener.h"
 #include "raw_http2.h"
 
 namespace gannetcourse::grpc {
