--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -23,7 +23,7 @@
 target_link_libraries(gannetcourse_proto PUBLIC protobuf::libprotobuf)
 
 gannetcourse_component(net SOURCES src/net/loop.cpp src/net/endpoint.cpp src/net/connection.cpp src/net/listener.cpp LINK gannetcourse_policy Threads::Threads)
-gannetcourse_component(http2 SOURCES src/http2/session.cpp LINK gannetcourse_net PkgConfig::NGHTTP2)
+gannetcourse_component(http2 SOURCES src/http2/headers.cpp src/http2/session.cpp src/http2/session_callbacks.cpp LINK gannetcourse_net PkgConfig::NGHTTP2)
 gannetcourse_component(grpc SOURCES src/grpc/protocol.cpp src/grpc/server.cpp src/grpc/channel.cpp
                   LINK gannetcourse_http2)
 gannetcourse_component(config SOURCES src/config/xml.cpp src/config/settings.cpp src/config/in_service.cpp
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -125,7 +125,7 @@
       return Code::kCancelled;
     case http2::kEnhanceYourCalm:
       return Code::kResourceExhausted;
-    case 0xc:  // INADEQUATE_SECURITY
+    case http2::kInadequateSecurity:
       return Code::kPermissionDenied;
     default:
       return Code::kInternal;
