--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -46,8 +46,13 @@
                                 src/http1/client.cpp
                   LINK gannetcourse_net)
 target_link_libraries(gannetcourse_http1 PRIVATE Boost::headers)
-gannetcourse_component(platform SOURCES src/platform/configuration.cpp src/platform/discovery.cpp src/platform/events.cpp
-                                   src/platform/engines.cpp src/platform/releases.cpp src/platform/front.cpp src/platform/node.cpp
+gannetcourse_component(platform SOURCES src/platform/configuration.cpp src/platform/json_stream_splitter.cpp
+                                   src/platform/engine_list_message.cpp src/platform/discovery_watch.cpp
+                                   src/platform/load_report.cpp src/platform/event_stream.cpp
+                                   src/platform/engine_response.cpp src/platform/engine_attempt.cpp
+                                   src/platform/release_dispatcher.cpp src/platform/engine_client.cpp
+                                   src/platform/chat_request.cpp src/platform/frontend.cpp
+                                   src/platform/node_statistics.cpp src/platform/node.cpp
                   LINK gannetcourse_driver gannetcourse_http1 gannetcourse_instance)
 gannetcourse_component(daemon SOURCES src/daemon/log.cpp src/daemon/serve.cpp src/daemon/signals.cpp
                                  src/daemon/platform.cpp
--- /dev/null
+++ b/src/instance/load_metrics.cpp
@@ -0,0 +1,44 @@
+#include "instance/load_metrics.h"
+
+#include <array>
+#include <optional>
+
+namespace gannetcourse::instance {
+namespace {
+
+constexpr double kTokensPerThousand = 1000;
+
+struct LoadMetric {
+  const char* name;
+  std::optional<double> LoadReport::*field;
+  double unit;  // of the wire, in units of the report
+};
+
+// Both the names of the simulator's wire and those of the engines' reports.
+constexpr std::array<LoadMetric, 8> kLoadMetrics{
+    {{"concurrent", &LoadReport::requestsInFlight, 1},
+     {"inflight", &LoadReport::requestsInFlight, 1},
+     {"depth", &LoadReport::requestsQueued, 1},
+     {"queue", &LoadReport::requestsQueued, 1},
+     {"load_share", &LoadReport::slotUtilization, 1},
+     {"util", &LoadReport::slotUtilization, 1},
+     {"x0", &LoadReport::memoryUtilization, 1},
+     {"x1", &LoadReport::queuedPrefillTokens, kTokensPerThousand}}};
+
+const LoadMetric* findLoadMetric(const std::string& name) {
+  for (const LoadMetric& metric : kLoadMetrics) {
+    if (name == metric.name) return &metric;
+  }
+  return nullptr;
+}
+
+}  // namespace
+
+bool isLoadMetric(const std::string& name) { return findLoadMetric(name) != nullptr; }
+
+void setLoadMetric(LoadReport& load, const std::string& name, double value) {
+  const LoadMetric* const metric = findLoadMetric(name);
+  if (metric != nullptr) load.*(metric->field) = value * metric->unit;
+}
+
+}  // namespace gannetcourse::instance
--- /dev/null
+++ b/src/platform/chat_request.cpp
@@ -0,0 +1,179 @@
+#include "platform/chat_request.h"
+
+#include <algorithm>
+#include <array>
+#include <cctype>
+#include <charconv>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string_view>
+#include <utility>
+
+#include "instance/json_fields.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+using instance::Json;
+
+constexpr std::uint64_t kMaxTokens = 1U << 24;
+constexpr std::uint64_t kMaxBudgetMs = 3'600'000;
+constexpr std::size_t kMaxIdLength = 128;
+constexpr double kSecondsPerMicrosecond = 1e-6;
+// Clients that state no prompt length: a token has about this many bytes.
+constexpr std::size_t kBytesPerToken = 4;
+
+constexpr std::array<const char*, 5> kSingleFields = {"X-Call-Id", "X-Call-Class", "X-Route-Hash",
+                                                      "X-Budget-Ms", "X-Call-Info"};
+
+// Fields that concern one connection only, or that the node states anew for its engines.
+constexpr std::array<std::string_view, 14> kFieldsNotForwarded = {
+    "Connection",  "Keep-Alive",  "Proxy-Connection",  "Proxy-Authorization",
+    "TE",          "Trailer",     "Transfer-Encoding", "Upgrade",
+    "Expect",      "Host",        "Content-Length",    "X-Call-Id",
+    "X-Budget-Ms", "Content-Type"};
+
+std::optional<std::uint64_t> parseUnsigned(std::string_view text, std::uint64_t max) {
+  std::uint64_t value = 0;
+  const char* const end = text.data() + text.size();
+  const auto [parsedTo, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || parsedTo != end || text.empty() || value > max) return std::nullopt;
+  return value;
+}
+
+bool isValidId(const std::string& text) {
+  if (text.empty() || text.size() > kMaxIdLength) return false;
+  return std::all_of(text.begin(), text.end(), [](unsigned char c) {
+    return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
+  });
+}
+
+// The field's value; empty where it is missing.
+const std::string& valueOf(const http1::Fields& fields, const char* name) {
+  static const std::string kNone;
+  const std::string* const value = fields.find(name);
+  return value == nullptr ? kNone : *value;
+}
+
+// The number of X-Call-Info with this name; null for unknown names.
+std::uint32_t* infoNumber(router::RequestPayload& payload, std::string_view name) {
+  if (name == "prompt_len") return &payload.promptTokens;
+  if (name == "prefix_len") return &payload.prefixTokens;
+  if (name == "max_out") return &payload.maxOutputTokens;
+  return nullptr;
+}
+
+// One NAME=VALUE of X-Call-Info; unknown names are ignored. Returns false where it is malformed.
+bool parseInfoPair(std::string_view pair, router::NewRequest& request, router::RequestPayload& payload) {
+  const auto equals = pair.find('=');
+  if (equals == std::string_view::npos) return false;
+  const auto nameBegin = pair.find_first_not_of(' ');
+  const std::string_view name = pair.substr(nameBegin, equals - nameBegin);
+  const std::string_view value = pair.substr(equals + 1);
+  if (name == "prefix") {
+    const auto key = instance::parseHexKey(std::string(value));
+    if (key) request.prefixKey = *key;
+    return key.has_value();
+  }
+  std::uint32_t* const field = infoNumber(payload, name);
+  if (field == nullptr) return true;
+  const auto number = parseUnsigned(value, kMaxTokens);
+  if (number) *field = static_cast<std::uint32_t>(*number);
+  return number.has_value();
+}
+
+// "prefix=HEX,prompt_len=N,prefix_len=N,max_out=N", any of them. Returns false where one is malformed.
+bool parseCallInfo(std::string_view text, router::NewRequest& request, router::RequestPayload& payload) {
+  while (!text.empty()) {
+    const auto comma = std::min(text.size(), text.find(','));
+    if (!parseInfoPair(text.substr(0, comma), request, payload)) return false;
+    text.remove_prefix(std::min(text.size(), comma + 1));
+  }
+  return true;
+}
+
+// Whether the comma-separated list names the field.
+bool listNames(std::string_view list, std::string_view field) {
+  for (std::size_t from = 0; from < list.size();) {
+    const std::size_t end = std::min(list.size(), list.find(',', from));
+    const std::size_t first = list.find_first_not_of(" \t", from);
+    const std::size_t last = list.find_last_not_of(" \t", end - 1);
+    if (first < end && last >= first && http1::equalsIgnoreCase(field, list.substr(first, last + 1 - first)))
+      return true;
+    from = end + 1;
+  }
+  return false;
+}
+
+// The client's own fields, as lines for the engines: keys and traces of a customer mean something to them,
+// whatever their names are. Fields that the Connection field nominates are not forwarded.
+std::string forwardedFields(const http1::Fields& fields) {
+  const std::string& nominated = valueOf(fields, "Connection");
+  std::string lines;
+  for (const auto& [name, value] : fields.all()) {
+    const auto isSame = [&name = name](std::string_view other) {
+      return http1::equalsIgnoreCase(name, other);
+    };
+    if (std::any_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame)) continue;
+    if (listNames(nominated, name)) continue;
+    lines.append(name).append(": ").append(value).append("\r\n");
+  }
+  return lines;
+}
+
+// Parses the fields that name the request, its class, tenant, deadline and session.
+std::optional<RequestError> parseFields(const http1::Fields& fields, const instance::InstanceNames& names,
+                                        router::NewRequest& request, router::RequestPayload& payload) {
+  request.id = valueOf(fields, "X-Call-Id");
+  if (!isValidId(request.id)) return RequestError{400, "X-Call-Id is missing or no id"};
+  payload.requestClass = valueOf(fields, "X-Call-Class");
+  const auto classIndex = instance::indexOf(names.classes, payload.requestClass);
+  if (!classIndex) return RequestError{400, "X-Call-Class is missing or unknown"};
+  request.classIndex = *classIndex;
+  payload.tenant = valueOf(fields, "X-Caller");
+  if (!payload.tenant.empty()) request.tenant = instance::indexOf(names.tenants, payload.tenant);
+  const auto budgetMs = parseUnsigned(valueOf(fields, "X-Budget-Ms"), kMaxBudgetMs);
+  if (!budgetMs || *budgetMs == 0)
+    return RequestError{400, "X-Budget-Ms is missing or no number of milliseconds"};
+  request.timeUntilDeadline = Duration(static_cast<double>(*budgetMs) / 1000);
+  request.deadlineEndsAtFirstToken = true;
+  const std::string& session = valueOf(fields, "X-Route-Hash");
+  const auto sessionKey = instance::parseHexKey(session);
+  if (!session.empty() && !sessionKey) return RequestError{400, "X-Route-Hash is no key of hex digits"};
+  request.sessionKey = sessionKey.value_or(0);
+  request.isRetry = !valueOf(fields, "X-Again").empty();
+  const auto costUs = parseUnsigned(valueOf(fields, "X-Call-Cost"), UINT64_MAX);
+  if (costUs && *costUs > 0)
+    request.expectedOutputDuration = Duration(static_cast<double>(*costUs) * kSecondsPerMicrosecond);
+  if (!parseCallInfo(valueOf(fields, "X-Call-Info"), request, payload))
+    return RequestError{400, "X-Call-Info cannot be read"};
+  return std::nullopt;
+}
+
+bool isJsonObject(const std::string& body) {
+  return !body.empty() && body.front() == '{' && Json::accept(body);
+}
+
+}  // namespace
+
+std::variant<router::NewRequest, RequestError> parseChatRequest(http1::Request& request,
+                                                                const instance::InstanceNames& names) {
+  for (const char* const field : kSingleFields) {
+    if (request.fields.count(field) > 1)
+      return RequestError{400, std::string(field) + " comes more than once"};
+  }
+  router::NewRequest parsed;
+  auto payload = std::make_shared<router::RequestPayload>();
+  if (const auto error = parseFields(request.fields, names, parsed, *payload)) return *error;
+  if (!isJsonObject(request.body)) return RequestError{400, "the body is no JSON object"};
+  if (payload->promptTokens == 0)
+    payload->promptTokens = static_cast<std::uint32_t>(request.body.size() / kBytesPerToken);
+  payload->headerFields = forwardedFields(request.fields);
+  payload->target = std::move(request.target);
+  payload->prompt = std::move(request.body);
+  parsed.payload = std::move(payload);
+  return parsed;
+}
+
+}  // namespace gannetcourse::platform
--- /dev/null
+++ b/src/platform/discovery_watch.cpp
@@ -0,0 +1,176 @@
+#include "platform/discovery_watch.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "platform/json_stream_splitter.h"
+#include "platform/request_head.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+// Discovery sends an empty line every 2 s, and a change must reach this node within 6 s of discovery knowing
+// it. A stream without activity for kSilenceLimit gets a replacement, which is renewed every
+// kReplacementTimeout until either delivers.
+const Duration kSilenceLimit{2.8}, kReplacementTimeout{2.5}, kLivenessInterval{0.2};
+
+// Backoff before a stream that ended or was rejected is opened again. A stream that delivered for
+// kStableStreamAge resets it.
+const Duration kInitialBackoff{0.1}, kResetBackoff{0.2}, kMaxBackoff{0.5}, kStableStreamAge{2};
+
+http1::ClientOptions watchOptions() {
+  http1::ClientOptions options;
+  options.limits.maxBodyBytes = 0;  // a stream has no bound
+  options.maxConnections = 2;
+  options.connectTimeout = Duration(0.5);
+  return options;
+}
+
+}  // namespace
+
+/// One response of discovery. Its owner is null once it is closed: what comes after that is dropped.
+class DiscoveryWatch::Stream final : public http1::ResponseHandler,
+                                     public std::enable_shared_from_this<DiscoveryWatch::Stream> {
+ public:
+  explicit Stream(DiscoveryWatch& watch)
+      : watch_(&watch), openedAt_(watch.loop_.now()), lastActivityAt_(openedAt_) {}
+
+  void setCall(http1::CallId call) { call_ = call; }
+  void recordActivity(Instant now) { lastActivityAt_ = now; }
+  Instant openedAt() const { return openedAt_; }
+  Instant lastActivityAt() const { return lastActivityAt_; }
+
+  void close() {
+    if (watch_ != nullptr) std::exchange(watch_, nullptr)->client_.cancel(call_);
+  }
+
+  void onHead(const http1::ResponseHead& head) override { statusOk_ = head.status == 200; }
+
+  void onBody(std::string_view bytes) override {
+    const std::shared_ptr<Stream> self = shared_from_this();  // the watch may drop this stream meanwhile
+    if (watch_ == nullptr || !statusOk_) return;
+    const bool alive = splitter_.feed(bytes, [this](const std::string& object) { onObject(object); });
+    if (alive && watch_ != nullptr) watch_->onActivity(*this);
+  }
+
+  void onEnd(http1::CallResult, const std::string&) override {
+    const std::shared_ptr<Stream> self = shared_from_this();
+    if (watch_ != nullptr) watch_->onStreamEnded(self);
+  }
+
+ private:
+  void onObject(const std::string& object) {
+    if (watch_ == nullptr) return;
+    watch_->onActivity(*this);
+    watch_->onObject_(object);
+  }
+
+  DiscoveryWatch* watch_;
+  http1::CallId call_ = 0;
+  Instant openedAt_;
+  Instant lastActivityAt_;
+  JsonStreamSplitter splitter_;
+  bool statusOk_ = false;
+};
+
+DiscoveryWatch::DiscoveryWatch(net::Loop& loop, const net::Endpoint& endpoint, std::uint64_t resumeIndex,
+                               std::uint64_t seed, ObjectHandler onObject, LogHandler log)
+    : loop_(loop),
+      endpoint_(endpoint),
+      resumeIndex_(resumeIndex),
+      random_(seed),
+      onObject_(std::move(onObject)),
+      log_(std::move(log)),
+      client_(loop, watchOptions()),
+      backoff_(kInitialBackoff) {
+  openStream();
+  livenessTimer_ = loop_.runAfter(kLivenessInterval, [this] { checkLiveness(); });
+}
+
+DiscoveryWatch::~DiscoveryWatch() {
+  for (const auto& stream : {active_, replacement_}) {
+    if (stream) stream->close();
+  }
+  loop_.cancelTimer(reopenTimer_);
+  loop_.cancelTimer(livenessTimer_);
+}
+
+void DiscoveryWatch::changeEndpoint(const net::Endpoint& endpoint) {
+  endpoint_ = endpoint;
+  backoff_ = kResetBackoff;
+  replacingActive_ = true;
+  openStream();
+}
+
+void DiscoveryWatch::requestSnapshot() {
+  ++snapshotRequests_;
+  snapshotRequested_ = true;
+  replacingActive_ = true;
+  openStreamAfter(kMaxBackoff);
+}
+
+void DiscoveryWatch::openStreamAfter(Duration delay) {
+  if (reopenTimer_ != 0) return;
+  const Duration withJitter = delay * std::uniform_real_distribution<double>(0.5, 1)(random_);
+  reopenTimer_ = loop_.runAfter(withJitter, [this] {
+    reopenTimer_ = 0;
+    openStream();
+  });
+}
+
+// Becomes the active stream where there is none, else the replacement, in place of an earlier one.
+void DiscoveryWatch::openStream() {
+  loop_.cancelTimer(std::exchange(reopenTimer_, 0));
+  if (replacement_) replacement_->close();
+  replacement_.reset();
+  ++watchesOpened_;
+  const auto stream = std::make_shared<Stream>(*this);
+  (active_ ? replacement_ : active_) = stream;
+  const std::uint64_t from = std::exchange(snapshotRequested_, false) ? 0 : resumeIndex_;
+  std::string head = requestHead("GET", "/api/targets?watch=1&from=" + std::to_string(from), endpoint_);
+  stream->setCall(client_.start(
+      endpoint_, [head = std::move(head)] { return head; }, nullptr, stream));
+}
+
+// The stream that delivers is kept; the other one has been silent for longer and is closed. An active stream
+// that is to be replaced stays until its replacement delivers.
+void DiscoveryWatch::onActivity(Stream& stream) {
+  stream.recordActivity(loop_.now());
+  if (log_ && silenceLogged_) {
+    silenceLogged_ = false;
+    log_("discovery speaks again");
+  }
+  if (stream.lastActivityAt() - stream.openedAt() > kStableStreamAge) backoff_ = kResetBackoff;
+  if (replacement_ && replacement_.get() == &stream) {
+    active_->close();
+    active_ = std::exchange(replacement_, nullptr);
+    replacingActive_ = false;
+  } else if (replacement_ && !replacingActive_) {
+    std::exchange(replacement_, nullptr)->close();
+  }
+}
+
+void DiscoveryWatch::onStreamEnded(const std::shared_ptr<Stream>& stream) {
+  if (stream != active_ && stream != replacement_) return;
+  stream->close();
+  if (stream == active_) active_ = std::exchange(replacement_, nullptr);
+  replacement_.reset();
+  openStreamAfter(backoff_);
+  backoff_ = std::min(kMaxBackoff, 2 * backoff_);
+}
+
+void DiscoveryWatch::checkLiveness() {
+  livenessTimer_ = loop_.runAfter(kLivenessInterval, [this] { checkLiveness(); });
+  if (reopenTimer_ != 0 || !active_) return;
+  const Instant now = loop_.now();
+  const bool silent = now - active_->lastActivityAt() > kSilenceLimit;
+  if (silent && log_ && !silenceLogged_) {
+    silenceLogged_ = true;
+    log_("discovery is silent: a second watch is opened");
+  }
+  const bool replacementTimedOut = replacement_ && now - replacement_->openedAt() > kReplacementTimeout;
+  const bool replacementNeeded = !replacement_ && silent;
+  if (replacementTimedOut || replacementNeeded) openStream();
+}
+
+}  // namespace gannetcourse::platform
--- /dev/null
+++ b/src/platform/engine_list_message.cpp
@@ -0,0 +1,99 @@
+#include "platform/engine_list_message.h"
+
+#include <utility>
+
+namespace gannetcourse::platform {
+namespace {
+
+using instance::Json;
+
+// A discovery that sends only older lists for this long has started to count anew.
+const Duration kStaleLimit{2};
+
+EngineEntry::State stateOf(const std::string& status) {
+  if (status == "removed") return EngineEntry::State::kRemoved;
+  if (status == "draining") return EngineEntry::State::kDraining;
+  return EngineEntry::State::kServing;
+}
+
+// Reads what an engine must state before it can be sent work. Throws instance::MalformedInput.
+void parseDescription(EngineListMessageEntry& engine, const Json& object,
+                      const instance::InstanceNames& names, const net::WallClock& clock) {
+  engine.address = net::parseEndpoint(instance::stringOr(object, "address", ""));
+  names.describeEngine(engine.entry, instance::stringOr(object, "type", ""),
+                       instance::stringOr(object, "zone", ""));
+  engine.entry.cell = static_cast<std::uint32_t>(instance::unsignedOr(object, "group", 0, 0xffffffffU));
+  const auto startedAtMs = static_cast<std::int64_t>(instance::numberOr(object, "since_ms", 0));
+  engine.entry.startedAt = clock.instant(startedAtMs);
+}
+
+// Returns nothing where the entry does not allow to send work to its engine. A drain or removal counts even
+// if the rest of the entry is malformed: ignoring it would mean to keep sending. Throws
+// instance::MalformedInput.
+std::optional<EngineListMessageEntry> parseEntry(const Json& object, const instance::InstanceNames& names,
+                                                 const net::WallClock& clock) {
+  if (!object.is_object()) return std::nullopt;
+  EngineListMessageEntry engine;
+  engine.entry.id = engineIdOf(instance::requireString(object, "name"));
+  engine.entry.state = stateOf(instance::stringOr(object, "status", "up"));
+  const bool isServing = engine.entry.state == EngineEntry::State::kServing;
+  try {
+    parseDescription(engine, object, names, clock);
+  } catch (const instance::MalformedInput&) {
+    if (isServing) throw;
+  }
+  if (isServing && !engine.address) return std::nullopt;
+  return engine;
+}
+
+}  // namespace
+
+EngineListUpdate EngineListMessage::toUpdate() const {
+  EngineListUpdate update;
+  update.scope = isSnapshot ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
+  for (const EngineListMessageEntry& engine : engines) update.entries.push_back(engine.entry);
+  return update;
+}
+
+// FNV-1a, 32 bits. The preferred engines of sessions are derived from these numbers: nodes of all versions
+// must agree on them, and another hash would move every session.
+EngineId engineIdOf(const std::string& name) {
+  constexpr std::uint32_t kOffsetBasis = 2166136261U;
+  constexpr std::uint32_t kPrime = 16777619U;
+  std::uint32_t hash = kOffsetBasis;
+  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
+  return {hash};
+}
+
+std::optional<EngineListMessage> parseEngineListMessage(const Json& object,
+                                                        const instance::InstanceNames& names,
+                                                        const net::WallClock& clock) {
+  if (!object.is_object()) return std::nullopt;
+  EngineListMessage message;
+  try {
+    message.index = instance::unsignedOr(object, "index", 0, UINT64_MAX);
+    message.isSnapshot = instance::boolOrFalse(object, "snapshot");
+    for (const Json& entry : instance::arrayOrEmpty(object, "endpoints")) {
+      try {
+        if (auto engine = parseEntry(entry, names, clock)) message.engines.push_back(std::move(*engine));
+      } catch (const instance::MalformedInput&) {  // a malformed entry must not hide the others
+      }
+    }
+  } catch (const instance::MalformedInput&) {
+    return std::nullopt;
+  }
+  return message;
+}
+
+EngineListVersion::Decision EngineListVersion::classify(std::uint64_t index, bool isSnapshot, Instant now) {
+  if (index < latestIndex_) {
+    if (!staleSince_) staleSince_ = now;
+    const bool staleForLong = now - *staleSince_ >= kStaleLimit;
+    if (!isSnapshot || !staleForLong) return Decision::kResync;
+  }
+  latestIndex_ = index;
+  staleSince_.reset();
+  return Decision::kApply;
+}
+
+}  // namespace gannetcourse::platform
--- /dev/null
+++ b/src/platform/engine_response.cpp
@@ -0,0 +1,115 @@
+#include "platform/engine_response.h"
+
+#include <cstdint>
+
+#include "instance/json_fields.h"
+#include "platform/load_report.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+using instance::Json;
+
+constexpr int kStatusOk = 200, kStatusAccepted = 202, kStatusGone = 410;
+constexpr int kStatusUnavailable = 503, kStatusGatewayTimeout = 504;
+constexpr std::size_t kMaxBodyBytes = 4096;
+
+}  // namespace
+
+Outcome outcomeOf(int status, bool notExecuted, AttemptKind kind) {
+  if (kind == AttemptKind::kPrefill && status == kStatusAccepted) return Outcome::kPrefilled;
+  if (status == kStatusGone && notExecuted) return Outcome::kStateLost;
+  const bool isShed = status == kStatusUnavailable || status == kStatusGatewayTimeout;
+  return isShed && notExecuted ? Outcome::kRejected : Outcome::kError;
+}
+
+Outcome outcomeOf(http1::CallResult result) {
+  switch (result) {
+    case http1::CallResult::kNoConnectionAvailable:
+      return Outcome::kNotSent;
+    case http1::CallResult::kNotConnected:
+      return Outcome::kConnectFailed;
+    case http1::CallResult::kMalformed:  // it may have run, and the engine can be reached
+      return Outcome::kError;
+    default:
+      return Outcome::kReset;
+  }
+}
+
+bool EngineResponseDecoder::isPrefillAnswer() const {
+  return kind_ == AttemptKind::kPrefill && status_ == kStatusAccepted;
+}
+
+void EngineResponseDecoder::onHead(const http1::ResponseHead& head) {
+  status_ = head.status;
+  const std::string* const rejected = head.fields.find("X-Rejected");
+  notExecuted_ = rejected != nullptr && *rejected == "1";
+  const std::string* const report = head.fields.find("X-Load-Report");
+  if (report != nullptr) loadOfHead_ = parseLoadReport(*report);
+  isStream_ = status_ == kStatusOk && kind_ == AttemptKind::kDecode;
+}
+
+bool EngineResponseDecoder::onBody(std::string_view bytes, Instant now,
+                                   const EventStreamDecoder::EventHandler& onEvent) {
+  if (!isStream_) {
+    if (body_.size() < kMaxBodyBytes) body_.append(bytes);
+    return true;
+  }
+  bool eventCompleted = false;
+  const bool readable = events_.feed(bytes, [&](std::string event) {
+    eventCompleted = true;
+    onEvent(std::move(event));
+  });
+  if (!events_.hasPartialEvent()) {
+    partialEventSince_.reset();
+  } else if (eventCompleted || !partialEventSince_) {
+    partialEventSince_ = now;
+  }
+  return readable;
+}
+
+void EngineResponseDecoder::restartPartialEvent(Instant now) {
+  if (partialEventSince_) partialEventSince_ = now;
+}
+
+// A prefill that ended with a success other than its own has run all the same: like one that was abandoned,
+// it may have left a state.
+AttemptResult EngineResponseDecoder::resultOfStatus() const {
+  const bool isOtherSuccess =
+      kind_ == AttemptKind::kPrefill && status_ / 100 == 2 && status_ != kStatusAccepted;
+  const auto end = isOtherSuccess ? recovery::AttemptEnd::kAbandoned : recovery::AttemptEnd::kConfirmed;
+  const Outcome outcome = outcomeOf(status_, notExecuted_, kind_);
+  AttemptResult result = resultOf(outcome, "status " + std::to_string(status_), end);
+  if (outcome == Outcome::kPrefilled) result.cachedTokens = cachedTokensOfPrefill();
+  return result;
+}
+
+AttemptResult EngineResponseDecoder::finishStream(const EventStreamDecoder::EventHandler& onEvent) {
+  const bool complete = events_.finish([&](std::string event) {
+    if (events_.isComplete()) onEvent(std::move(event));
+  });
+  constexpr auto kEnd = recovery::AttemptEnd::kConfirmed;
+  if (!complete) return resultOf(Outcome::kError, "its stream ended before its last event", kEnd);
+  const auto tokens = static_cast<std::uint64_t>(events_.generatedTokens());
+  return resultOf(Outcome::kOk, "tokens " + std::to_string(tokens), kEnd);
+}
+
+AttemptResult EngineResponseDecoder::resultOf(Outcome outcome, const std::string& reason,
+                                              recovery::AttemptEnd end) const {
+  AttemptResult result;
+  result.outcome = outcome;
+  result.reason = reason;
+  result.end = end;
+  result.cachedTokens = events_.cachedTokens();
+  result.load = events_.loadReport() ? events_.loadReport() : loadOfHead_;
+  return result;
+}
+
+double EngineResponseDecoder::cachedTokensOfPrefill() const {
+  const Json reply = Json::parse(body_, nullptr, false);
+  if (!reply.is_object() || !reply.contains("cached_tokens")) return 0;
+  const Json& tokens = reply["cached_tokens"];
+  return tokens.is_number() ? tokens.get<double>() : 0;
+}
+
+}  // namespace gannetcourse::platform
--- a/src/platform/engine_table.h
+++ b/src/platform/engine_table.h
@@ -1,4 +1,5 @@
-// The engines that this node has been told of, and what the engines' client has seen of them.
+// The engines that this node knows from the engine list, and what the engine client has observed of them.
+// EngineClient alone changes the table; ReleaseDispatcher reads it.
 #pragma once
 
 #include <map>
@@ -8,13 +9,15 @@
 
 namespace gannetcourse::platform {
 
+/// What is known of one engine.
 struct EngineRecord {
   net::Endpoint address;
-  Instant lastHeardAt{};  // when anything last came from it
-  bool removed = false, draining = false;
-  bool unsentCallsCancelled =
-      false;  // it takes nothing new, and what waited for a connection to it has been ended
-  Instant removedAt{};
+  Instant lastHeardAt{};  ///< When anything last came from it; the epoch = never.
+  bool removed = false;   ///< Off the list. Its process may run on.
+  bool draining = false;
+  /// It takes no new work, and calls that waited for a connection to it have been cancelled.
+  bool unsentCallsCancelled = false;
+  Instant removedAt{};  ///< Since when it is off the list; the epoch = it is listed.
 
   bool isServing() const { return !removed && !draining; }
 };
--- /dev/null
+++ b/src/platform/frontend.cpp
@@ -0,0 +1,165 @@
+#include "platform/frontend.h"
+
+#include <cstdio>
+#include <utility>
+
+namespace gannetcourse::platform {
+namespace {
+
+constexpr std::string_view kChatPath = "/v1/chat/completions";
+constexpr std::string_view kReadyPath = "/-/ready";
+constexpr std::string_view kHealthyPath = "/-/healthy";
+constexpr std::string_view kEventStreamField = "Content-Type: text/event-stream\r\n";
+
+enum Status : int {
+  kOk = 200,
+  kNotFound = 404,
+  kMethodNotAllowed = 405,
+  kConflict = 409,
+  kBadGateway = 502,
+  kServiceUnavailable = 503,
+  kGatewayTimeout = 504
+};
+
+// The line of a Retry-After field; empty without an advice.
+std::string retryAfterField(Duration advice) {
+  if (advice.count() <= 0) return {};
+  char text[48];
+  std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", advice.count());
+  return text;
+}
+
+http1::ServerOptions serverOptions(const Configuration& configuration) {
+  const NodeLimits limits = limitsOf(configuration);
+  http1::ServerOptions options;
+  options.maxConnections = limits.maxClientConnections;
+  options.maxBufferedRequestBytes = limits.maxBufferedBytes / 2;  // the other half is for open requests
+  return options;
+}
+
+}  // namespace
+
+/// A request that the core has accepted. The response's head is sent with the first token.
+class Frontend::OpenRequest final : public frontend::ClientStream {
+ public:
+  OpenRequest(Frontend& frontend, std::shared_ptr<http1::Exchange> exchange, std::string id,
+              std::uint64_t bytes)
+      : frontend_(frontend), exchange_(std::move(exchange)), id_(std::move(id)), bytes_(bytes) {
+    frontend_.openRequestIds_.insert(id_);
+    frontend_.bufferedBytes_ += bytes_;
+  }
+  ~OpenRequest() override { close(); }
+
+  void sendToken(const router::SendToken& token) override {
+    if (!streamBegun_) {
+      streamBegun_ = true;
+      exchange_->beginStream(kEventStreamField);
+    }
+    exchange_->sendChunk(token.text);
+  }
+
+  void sendFinalResponse(const router::FinalResponse& response) override {
+    close();
+    exchange_->onClientDisconnected = nullptr;
+    if (streamBegun_) {
+      endStream(response.status);
+    } else if (response.status == router::FinalStatus::kRejected) {
+      exchange_->respond(kServiceUnavailable, retryAfterField(response.retryAfter), response.reason + "\n");
+    } else {
+      const bool timedOut = response.status == router::FinalStatus::kDeadlineExceeded;
+      exchange_->respond(timedOut ? kGatewayTimeout : kBadGateway, "", response.reason + "\n");
+    }
+  }
+
+ private:
+  void endStream(router::FinalStatus status) {
+    if (status == router::FinalStatus::kServed) {
+      exchange_->endStream();
+    } else {
+      exchange_->abortStream();
+    }
+  }
+
+  void close() {
+    if (closed_) return;
+    closed_ = true;
+    frontend_.openRequestIds_.erase(id_);
+    frontend_.bufferedBytes_ -= bytes_;
+  }
+
+  Frontend& frontend_;
+  std::shared_ptr<http1::Exchange> exchange_;
+  std::string id_;
+  std::uint64_t bytes_;
+  bool streamBegun_ = false, closed_ = false;
+};
+
+Frontend::Frontend(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver)
+    : driver_(driver),
+      server_(loop, configuration.listenEndpoint, serverOptions(configuration),
+              [this](const std::shared_ptr<http1::Exchange>& exchange) { handle(exchange); }) {
+  applyConfiguration(configuration);
+}
+
+void Frontend::applyConfiguration(const Configuration& configuration) {
+  const Settings& settings = configuration.policySettings;
+  names_ = configuration.names;
+  limits_ = limitsOf(configuration);
+  retryAfter_ = settings.clientsHonorRetryAfter ? settings.maxRetryAfter : Duration(0);
+  server_.setOptions(serverOptions(configuration));
+}
+
+void Frontend::drain() {
+  draining_ = true;
+  server_.drain();
+}
+
+void Frontend::reject(http1::Exchange& exchange, const RequestError& error) {
+  ++rejectedMalformed_;
+  const std::string fields = error.status == kServiceUnavailable ? retryAfterField(retryAfter_) : "";
+  exchange.respond(error.status, fields, error.reason + "\n", true);
+}
+
+void Frontend::handle(const std::shared_ptr<http1::Exchange>& exchange) {
+  const http1::Request& request = exchange->request;
+  const std::string path = request.target.substr(0, request.target.find('?'));
+  if (path == kChatPath && request.method != "POST") {
+    reject(*exchange, {kMethodNotAllowed, "only POST is served here"});
+  } else if (path == kChatPath) {
+    handleChat(exchange);
+  } else if (path == kReadyPath) {
+    const bool serving = ready_ && !draining_;
+    exchange->respond(serving ? kOk : kServiceUnavailable, "", serving ? "ready\n" : "not ready\n");
+  } else if (path == kHealthyPath) {
+    exchange->respond(kOk, "", "healthy\n");
+  } else {
+    reject(*exchange, {kNotFound, "nothing is served at this path"});
+  }
+}
+
+void Frontend::handleChat(const std::shared_ptr<http1::Exchange>& exchange) {
+  auto parsed = parseChatRequest(exchange->request, names_);
+  if (const auto* const error = std::get_if<RequestError>(&parsed)) {
+    reject(*exchange, *error);
+    return;
+  }
+  router::NewRequest& request = std::get<router::NewRequest>(parsed);
+  if (openRequestIds_.count(request.id) > 0) {
+    reject(*exchange, {kConflict, "X-Call-Id is that of an open request"});
+    return;
+  }
+  const std::uint64_t bytes = request.payload->prompt.size() + request.payload->headerFields.size();
+  if (openRequestIds_.size() >= limits_.maxOpenRequests ||
+      bufferedBytes_ + bytes > limits_.maxBufferedBytes) {
+    reject(*exchange, {kServiceUnavailable, "the node has all that it can hold"});
+    return;
+  }
+  const router::RequestKey key = driver_.nextRequestKey();
+  request.key = key;
+  auto client = std::make_shared<OpenRequest>(*this, exchange, request.id, bytes);
+  exchange->onClientDisconnected = [this, key] { driver_.onClientDisconnected(key); };
+  exchange->onBackpressure = [this, key](bool paused) { driver_.pauseRequest(key, paused); };
+  driver_.openRequest(key, std::move(request), std::move(client));
+}
+
+}  // namespace gannetcourse::platform
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -1,44 +1,54 @@
 #include "platform/node.h"
 
 #include <algorithm>
+#include <optional>
 #include <stdexcept>
 #include <utility>
+#include <vector>
+
+#include "instance/json_fields.h"
 
 namespace gannetcourse::platform {
 namespace {
 
 using instance::Json;
 
-const Duration kLinger{1.2};  // after SIGTERM new connections keep coming for a while: each gets its answer
-const Duration kReport{10};   // between two lines of the node's account
-const Duration kAnswerMargin{0.01};
-// The list that a node is started with may be old, and what discovery knows counts as told from the first
-// moment: the node waits this long for its word before it says that it is ready.
-const Duration kFirstWord{0.3};
-// ... and this long where it knows no engine: without a word by then it is ready and refuses, with a time to
-// come back.
-const Duration kNoListWithin{5};
-
-http1::ClientOptions clientOptions(const Configuration& c) {
+// Clients keep opening connections for a while after SIGTERM: each of these gets its answer.
+const Duration kDrainLinger{1.2};
+const Duration kStatisticsInterval{10};
+const Duration kResponseMargin{0.01};
+// The list that a node is started with may be old, and changes that discovery knows of count from the start:
+// the node is not ready before discovery has answered or this has passed.
+const Duration kDiscoveryWait{0.3};
+// The same for a node that knows no engine. Without an answer by then it is ready and rejects, with a
+// Retry-After.
+const Duration kDiscoveryWaitWithoutEngines{5};
+
+http1::ClientOptions engineConnectionOptions(const Configuration& configuration) {
   http1::ClientOptions options;
-  options.maxConnections = limitsOf(c).maxEngineConnections;
-  options.connectTimeout = c.engineConnectTimeout;
-  options.idleTimeout = c.engineIdleTimeout / 2;
+  options.maxConnections = limitsOf(configuration).maxEngineConnections;
+  options.connectTimeout = configuration.engineConnectTimeout;
+  options.idleTimeout = configuration.engineIdleTimeout / 2;
+  return options;
+}
+
+router::Options coreOptions(const Configuration& configuration, bool recordsEnabled) {
+  router::Options options;
+  options.nodeName = configuration.name;
+  options.responseMargin = kResponseMargin;
+  options.recordsEnabled = recordsEnabled;
+  options.recovery.enabled = false;  // clients get the events of one engine's stream, unchanged
   return options;
 }
 
-// The module and open requests know names by their places: more may follow, none may move.
+// The module and open requests refer to names by their places: more may follow, none may move.
 bool keepsPlaces(const std::vector<std::string>& before, const std::vector<std::string>& after) {
   return before.size() <= after.size() && std::equal(before.begin(), before.end(), after.begin());
 }
 
-router::Options coreOptions(const Configuration& c, bool records) {
-  router::Options options;
-  options.nodeName = c.name;
-  options.responseMargin = kAnswerMargin;
-  options.recordsEnabled = records;
-  options.recovery.enabled = false;  // the events of one engine's stream, unchanged
-  return options;
+bool keepsPlaces(const instance::InstanceNames& before, const instance::InstanceNames& after) {
+  return keepsPlaces(before.classes, after.classes) && keepsPlaces(before.tenants, after.tenants) &&
+         keepsPlaces(before.zones, after.zones);
 }
 
 }  // namespace
@@ -51,20 +61,17 @@
       clock_(loop.now(), net::unixMillis()),
       driver_(loop, configuration_.policySettings, coreOptions(configuration_, record != nullptr),
               driverHooks(record)),
-      engineClient_(loop, clientOptions(configuration_), driver_),
+      engineClient_(loop, engineConnectionOptions(configuration_), driver_),
       frontend_(loop, configuration_, driver_) {
   driver_.attach(engineClient_);
   engineClient_.setStateLeaseLimit(configuration_.policySettings.stateLeaseLimit);
-  engineClient_.releases().setLog(
+  engineClient_.setReleaseLog(
       [this](const std::string& level, const std::string& text) { log_("engines", level, text); });
-  applyEngineList(
-      configuration_.knownEngineList.is_object() ? configuration_.knownEngineList : Json::object(), true);
-  readyTimer_ = loop_.runAfter(engineClient_.knownEngineCount() > 0 ? kFirstWord : kNoListWithin,
-                               [this] { becomeReady("without a word of discovery"); });
-  watch_ = std::make_unique<DiscoveryWatch>(
-      loop_, configuration_.discoveryEndpoint, listVersion_.latestIndex(), configuration_.policySettings.seed,
-      [this](const std::string& object) { onDiscoveryObject(object); },
-      [this](const std::string& text) { log_("discovery", "info", text); });
+  applyKnownEngineList();
+  const bool knowsEngines = engineClient_.knownEngineCount() > 0;
+  readyTimer_ = loop_.runAfter(knowsEngines ? kDiscoveryWait : kDiscoveryWaitWithoutEngines,
+                               [this] { becomeReady("without an answer from discovery"); });
+  openWatch();
   logStatistics();
 }
 
@@ -82,64 +89,91 @@
   return hooks;
 }
 
-// Where no records are asked for, a rule that was broken is still told of, with its request.
+// Violations are logged, with their request, even where no records are.
 void Node::logViolation(const router::Record& record) {
   if (record.action != std::string("violation")) return;
   log_("router", "error", "violation: " + record.reason + " by request " + record.request);
 }
 
+// ---- The engine list ----
+
+void Node::openWatch() {
+  watch_ = std::make_unique<DiscoveryWatch>(
+      loop_, configuration_.discoveryEndpoint, listVersion_.latestIndex(), configuration_.policySettings.seed,
+      [this](const std::string& object) { onDiscoveryObject(object); },
+      [this](const std::string& text) { log_("discovery", "info", text); });
+}
+
 void Node::onDiscoveryObject(const std::string& text) {
   const Json object = Json::parse(text, nullptr, false);
-  if (object.is_discarded()) return watchMissed("an object of the watch is no JSON");
-  applyEngineList(object, false);
-}
-
-// What could not be read may have told of a drain: the whole list is asked for.
-void Node::watchMissed(const char* why) {
-  log_("discovery", "warn", why);
-  if (watch_) watch_->requestSnapshot();
-}
-
-void Node::applyEngineList(const Json& object, bool saved) {
-  auto list = parseEngineListMessage(object, configuration_.names, clock_);
-  if (!list) watchMissed(saved ? "the known list cannot be read" : "an object of the watch cannot be read");
-  if (!list && !saved) return;
-  if (!list) list.emplace();  // the core has to hear a first list, be it an empty one
-  if (listVersion_.classify(list->index, list->isSnapshot || saved, loop_.now()) ==
-      EngineListVersion::Decision::kResync)
-    return watch_->requestSnapshot();
-  if (watch_) watch_->setResumeIndex(list->index);
-  engineClient_.applyEngineList(*list);
-  EngineListUpdate told = list->toUpdate();
-  if (saved) told.scope = EngineListUpdate::Scope::kCached;
-  driver_.step([&](router::Core& core, Instant now) { core.onEngineListUpdate(now, told); });
-  if (!saved) becomeReady("with discovery's list");
-}
-
-void Node::becomeReady(const char* how) {
-  if (std::exchange(ready_, true)) return;
+  if (object.is_discarded()) {
+    watchMissed("an object of the watch is no JSON");
+    return;
+  }
+  const auto message = parseEngineListMessage(object, configuration_.names, clock_);
+  if (!message) {
+    watchMissed("an object of the watch cannot be read");
+    return;
+  }
+  const auto decision = listVersion_.classify(message->index, message->isSnapshot, loop_.now());
+  if (decision == EngineListVersion::Decision::kResync) {
+    watch_->requestSnapshot();
+    return;
+  }
+  watch_->setResumeIndex(message->index);
+  applyEngineList(*message, message->toUpdate().scope);
+  becomeReady("with discovery's list");
+}
+
+// What could not be read may have been a drain: a snapshot is needed.
+void Node::watchMissed(const char* reason) {
+  log_("discovery", "warn", reason);
+  watch_->requestSnapshot();
+}
+
+// The list of the configuration. The core needs a first list, even an empty one.
+void Node::applyKnownEngineList() {
+  const Json& known = configuration_.knownEngineList;
+  auto message =
+      parseEngineListMessage(known.is_object() ? known : Json::object(), configuration_.names, clock_);
+  if (!message) {
+    log_("discovery", "warn", "the known list cannot be read");
+    message.emplace();
+  }
+  listVersion_.classify(message->index, true, loop_.now());
+  applyEngineList(*message, EngineListUpdate::Scope::kCached);
+}
+
+void Node::applyEngineList(const EngineListMessage& message, EngineListUpdate::Scope scope) {
+  engineClient_.applyEngineList(message);
+  EngineListUpdate update = message.toUpdate();
+  update.scope = scope;
+  driver_.step([&](router::Core& core, Instant now) { core.onEngineListUpdate(now, update); });
+}
+
+void Node::becomeReady(const char* reason) {
+  if (ready_) return;
+  ready_ = true;
   log_("node", "info",
-       std::string("ready ") + how + ", engines known: " + std::to_string(engineClient_.knownEngineCount()));
+       std::string("ready ") + reason +
+           ", engines known: " + std::to_string(engineClient_.knownEngineCount()));
   frontend_.setReady(true);
 }
 
-void Node::reload(Configuration fresh) {
-  fresh.name = configuration_.name;
-  fresh.listenEndpoint = configuration_.listenEndpoint;
-  const instance::InstanceNames &was = configuration_.names, &is = fresh.names;
-  for (const auto& [before, after] :
-       {std::pair(&was.classes, &is.classes), std::pair(&was.tenants, &is.tenants),
-        std::pair(&was.zones, &is.zones)}) {
-    if (!keepsPlaces(*before, *after))
-      throw std::invalid_argument("rule 2 (no effect twice): a class, tenant or zone lost its place");
-  }
-  driver_.step([&](router::Core& core, Instant now) { core.reconfigure(now, fresh.policySettings); });
-  const bool moved = fresh.discoveryEndpoint != configuration_.discoveryEndpoint;
-  configuration_ = std::move(fresh);
-  engineClient_.take(clientOptions(configuration_));
+// ---- Reload and shutdown ----
+
+void Node::reload(Configuration configuration) {
+  configuration.name = configuration_.name;
+  configuration.listenEndpoint = configuration_.listenEndpoint;
+  if (!keepsPlaces(configuration_.names, configuration.names))
+    throw std::invalid_argument("rule 2 (no effect twice): a class, tenant or zone lost its place");
+  driver_.step([&](router::Core& core, Instant now) { core.reconfigure(now, configuration.policySettings); });
+  const bool discoveryMoved = configuration.discoveryEndpoint != configuration_.discoveryEndpoint;
+  configuration_ = std::move(configuration);
+  engineClient_.setConnectionOptions(engineConnectionOptions(configuration_));
   engineClient_.setStateLeaseLimit(configuration_.policySettings.stateLeaseLimit);
   frontend_.applyConfiguration(configuration_);
-  if (moved) watch_->changeEndpoint(configuration_.discoveryEndpoint);
+  if (discoveryMoved) watch_->changeEndpoint(configuration_.discoveryEndpoint);
 }
 
 void Node::drain(std::function<void()> done) {
@@ -150,63 +184,49 @@
   frontend_.drain();
 }
 
+// Runs after each turn of the core's timer. The listener is closed first; the drain is over in a later turn,
+// once the connections that came until then have been served as well.
 void Node::checkDrained() {
-  if (!onDrained_ || loop_.now() - drainStartedAt_ < kLinger) return;
-  if (core().pendingObligations() > 0 || engineClient_.auxiliaryCalls() > 0 ||
-      frontend_.server().busyCount() > 0)
+  if (!onDrained_ || loop_.now() - drainStartedAt_ < kDrainLinger) return;
+  const bool pending = core().pendingObligations() > 0 || engineClient_.auxiliaryCalls() > 0 ||
+                       frontend_.server().busyCount() > 0;
+  if (pending) return;
+  if (listening_) {
+    log_("node", "info", "nothing is pending: the listener closes");
+    listening_ = false;
+    frontend_.shutdown();
     return;
-  if (listening_) log_("node", "info", "nothing is owed: the listener closes");
-  if (!std::exchange(listening_, false)) return loop_.defer(std::exchange(onDrained_, nullptr));
-  frontend_.shutdown();
-}
-
-std::string Node::statisticsLine() const {
-  const router::Counters& c = core().counters();
-  const http1::ServerCounters& clients = frontend_.server().counters();
-  std::string text;
-  const auto add = [&text](const char* name, std::uint64_t value) {
-    text += std::string(text.empty() ? "" : " ") + name + "=" + std::to_string(value);
-  };
-  add("taken", c.accepted);
-  add("served", c.served);
-  add("refused", c.rejected);
-  add("failed", c.failed);
-  add("deadline", c.deadlineExceeded);
-  add("gone", c.clientsDisconnected);
-  add("turned_away", frontend_.rejectedMalformed());
-  add("attempts", c.attempts);
-  add("guarded", c.actionsBlocked);
-  text += " violations=" + router::textOf(core().violations());
-  add("open", core().openRequests());
-  add("calls_open", engineClient_.openCallCount());
-  const ReleaseDispatcher::Counters& releases = engineClient_.releases().counters();
-  add("releases_open", engineClient_.releases().pending());
-  add("releases", releases.started);
-  add("releases_taken", releases.confirmed);
-  add("releases_given_up", releases.abandoned);
-  add("release_asks", releases.calls);
-  add("slowest_release_ms", static_cast<std::uint64_t>(releases.slowestConfirmation.count() * 1000));
-  add("client_connections", frontend_.server().connectionCount());
-  add("engine_connections", engineClient_.connectionCount());
-  add("engine_connections_opened", engineClient_.connectionsOpened());
-  add("accepted", clients.accepted);
-  add("evicted", clients.evicted);
-  add("shut_at_bound", clients.closedAtLimit);
-  add("rejected", clients.rejected);
-  add("timed_out", clients.timedOut);
-  add("abandoned", clients.abandoned);
-  add("failed_accepts", frontend_.server().failedAccepts());
-  add("failed_watches", loop_.failedWatches());
-  add("local_faults", engineClient_.localConnectFailures());
-  add("list_index", listIndex());
-  add("discovery_watches", watch_ ? watch_->watchesOpened() : 0);
-  add("whole_lists_asked", watch_ ? watch_->snapshotRequests() : 0);
-  return text;
+  }
+  loop_.defer(std::exchange(onDrained_, nullptr));
+}
+
+// ---- Statistics ----
+
+NodeStatistics Node::statistics() const {
+  NodeStatistics statistics;
+  statistics.requests = core().counters();
+  statistics.violations = core().violations();
+  statistics.rejectedMalformed = frontend_.rejectedMalformed();
+  statistics.openRequests = core().openRequests();
+  statistics.openCalls = engineClient_.openCallCount();
+  statistics.releasesPending = engineClient_.releases().pending();
+  statistics.releases = engineClient_.releases().counters();
+  statistics.clientConnections = frontend_.server().connectionCount();
+  statistics.engineConnections = engineClient_.connectionCount();
+  statistics.engineConnectionsOpened = engineClient_.connectionsOpened();
+  statistics.clients = frontend_.server().counters();
+  statistics.failedAccepts = frontend_.server().failedAccepts();
+  statistics.failedWatches = loop_.failedWatches();
+  statistics.localConnectFailures = engineClient_.localConnectFailures();
+  statistics.listIndex = listIndex();
+  statistics.discoveryWatches = watch_ ? watch_->watchesOpened() : 0;
+  statistics.snapshotRequests = watch_ ? watch_->snapshotRequests() : 0;
+  return statistics;
 }
 
 void Node::logStatistics() {
   log_("node", "info", statisticsLine());
-  statisticsTimer_ = loop_.runAfter(kReport, [this] { logStatistics(); });
+  statisticsTimer_ = loop_.runAfter(kStatisticsInterval, [this] { logStatistics(); });
 }
 
 }  // namespace gannetcourse::platform
--- /dev/null
+++ b/src/platform/node_statistics.cpp
@@ -0,0 +1,81 @@
+#include "platform/node_statistics.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+/// Builds a line of `name=value` pairs.
+class LineBuilder {
+ public:
+  LineBuilder& add(const char* name, std::uint64_t value) { return add(name, std::to_string(value)); }
+  LineBuilder& add(const char* name, const std::string& value) {
+    if (!line_.empty()) line_.push_back(' ');
+    line_.append(name).append("=").append(value);
+    return *this;
+  }
+  const std::string& line() const { return line_; }
+
+ private:
+  std::string line_;
+};
+
+void addRequests(LineBuilder& builder, const NodeStatistics& statistics) {
+  const router::Counters& requests = statistics.requests;
+  builder.add("accepted", requests.accepted)
+      .add("served", requests.served)
+      .add("rejected", requests.rejected)
+      .add("failed", requests.failed)
+      .add("deadline_exceeded", requests.deadlineExceeded)
+      .add("client_disconnected", requests.clientsDisconnected)
+      .add("rejected_malformed", statistics.rejectedMalformed)
+      .add("attempts", requests.attempts)
+      .add("actions_blocked", requests.actionsBlocked)
+      .add("violations", router::textOf(statistics.violations))
+      .add("open", statistics.openRequests)
+      .add("calls_open", statistics.openCalls);
+}
+
+void addReleases(LineBuilder& builder, const NodeStatistics& statistics) {
+  const ReleaseDispatcher::Counters& releases = statistics.releases;
+  const auto slowestMs = static_cast<std::uint64_t>(releases.slowestConfirmation.count() * 1000);
+  builder.add("releases_pending", statistics.releasesPending)
+      .add("releases_started", releases.started)
+      .add("releases_confirmed", releases.confirmed)
+      .add("releases_abandoned", releases.abandoned)
+      .add("release_calls", releases.calls)
+      .add("slowest_release_ms", slowestMs);
+}
+
+void addConnections(LineBuilder& builder, const NodeStatistics& statistics) {
+  const http1::ServerCounters& clients = statistics.clients;
+  builder.add("client_connections", statistics.clientConnections)
+      .add("engine_connections", statistics.engineConnections)
+      .add("engine_connections_opened", statistics.engineConnectionsOpened)
+      .add("connections_accepted", clients.accepted)
+      .add("connections_evicted", clients.evicted)
+      .add("connections_closed_at_limit", clients.closedAtLimit)
+      .add("connections_rejected", clients.rejected)
+      .add("connections_timed_out", clients.timedOut)
+      .add("connections_abandoned", clients.abandoned);
+}
+
+void addFailuresAndList(LineBuilder& builder, const NodeStatistics& statistics) {
+  builder.add("failed_accepts", statistics.failedAccepts)
+      .add("failed_watches", statistics.failedWatches)
+      .add("local_connect_failures", statistics.localConnectFailures)
+      .add("list_index", statistics.listIndex)
+      .add("discovery_watches", statistics.discoveryWatches)
+      .add("snapshot_requests", statistics.snapshotRequests);
+}
+
+}  // namespace
+
+std::string toLogLine(const NodeStatistics& statistics) {
+  LineBuilder builder;
+  addRequests(builder, statistics);
+  addReleases(builder, statistics);
+  addConnections(builder, statistics);
+  addFailuresAndList(builder, statistics);
+  return builder.line();
+}
+
+}  // namespace gannetcourse::platform
--- a/src/platform/releases.h
+++ b/src/platform/release_dispatcher.h
@@ -1,6 +1,6 @@
-// Releases of what engines hold for a request. Any engine takes one for all, so each is sent to one engine
-// after the other, and to more at a time the longer it takes, until one has answered. Decides nothing about
-// when one is due.
+// Releases of the states and reservations that engines hold for a request. Any engine accepts a release on
+// behalf of all, so each is sent to one engine after the other, and to more at a time the longer it takes,
+// until one confirms it. When a release is due is decided elsewhere.
 #pragma once
 
 #include <cstdint>
@@ -19,33 +19,41 @@
 
 namespace gannetcourse::platform {
 
+/// Owns the pending releases and their calls. Invariants: at most kMaxPending are pending and at most
+/// kMaxCallsInFlight calls are open, of which only a part may be to engines that do not answer, each with its
+/// share. Not thread-safe; everything runs on the loop.
 class ReleaseDispatcher {
  public:
   struct Counters {
-    std::uint64_t started = 0, confirmed = 0, abandoned = 0;
-    std::uint64_t calls = 0;          // calls that they took
-    Duration slowestConfirmation{0};  // from the decision until an engine had taken it
+    std::uint64_t started = 0;        ///< Releases asked for, repeats included.
+    std::uint64_t confirmed = 0;      ///< An engine has confirmed them.
+    std::uint64_t abandoned = 0;      ///< Given up: too old, or too many pending.
+    std::uint64_t calls = 0;          ///< Calls sent.
+    Duration slowestConfirmation{0};  ///< From the first request for a release until its confirmation.
   };
   using Log = std::function<void(const std::string& level, const std::string& text)>;
-  static constexpr std::size_t kMaxPending = 4096;      // past it the oldest is given up
-  static constexpr std::size_t kMaxCallsInFlight = 64;  // calls that may be out at once
 
-  // The table's engines may change between calls; `heardFrom` is told of each engine that answers.
+  static constexpr std::size_t kMaxPending = 4096;  ///< Beyond it the oldest is abandoned.
+  static constexpr std::size_t kMaxCallsInFlight = 64;
+
+  /// `engines` may change between calls of this class. `onEngineResponse` gets each engine that answers.
   ReleaseDispatcher(net::Loop& loop, http1::Client& client, const EngineTable& engines,
-                    std::function<void(EngineId)> heardFrom);
+                    std::function<void(EngineId)> onEngineResponse);
   ~ReleaseDispatcher();
   ReleaseDispatcher(const ReleaseDispatcher&) = delete;
   ReleaseDispatcher& operator=(const ReleaseDispatcher&) = delete;
 
-  // For how long a state may stay held: other engines are asked well before that. 0 = no limit.
+  /// How long a state may stay unused: more engines are called well before that. 0 = no limit.
   void setStateLeaseLimit(Duration limit);
+  /// Where slow and abandoned releases are logged; may be null.
   void setLog(Log log) { log_ = std::move(log); }
 
-  // One that is still pending goes on, until a call that was sent after this one is answered.
+  /// Releases all that is held for the request `id`. One that is still pending starts again: only a call that
+  /// is sent from now on confirms it.
   void startRelease(const std::string& id);
 
   std::size_t pending() const { return pending_.size(); }
-  // Those that the end of the process has to wait for: where no engine answers for seconds it does not.
+  /// Pending releases that the shutdown has to wait for: the young ones. For older ones no engine answers.
   std::size_t awaitedByShutdown() const;
   const Counters& counters() const { return counters_; }
 
@@ -53,9 +61,9 @@
   struct PendingRelease {
     std::string id;
     Instant startedAt, lastCallAt;
-    Instant requestedAt;  // the newest begin(): a call that was sent before it may have come too early
+    Instant requestedAt;               // the newest startRelease(): an earlier call may have come too early
     std::set<EngineId> enginesCalled;  // in this round
-    std::size_t fanOut = 1;            // engines that the next step asks
+    std::size_t fanOut = 1;            // engines that the next step calls
     bool done = false;
   };
   struct Call {
@@ -66,23 +74,25 @@
     net::TimerId timeoutTimer = 0;
   };
   using CallNumber = std::uint64_t;
-  // Calls to one engine since it last answered one.
+  // Open calls to one engine since its last answer.
   struct UnansweredCalls {
     std::size_t count = 0;
-    Instant since;  // the first of them
+    Instant since;  // when the first of them was sent
   };
+  enum class Ending { kConfirmed, kAbandoned };
 
   std::shared_ptr<PendingRelease> addPending(const std::string& id);
   void advanceAll();
   void advance(const std::shared_ptr<PendingRelease>& release);
   void sendCall(const std::shared_ptr<PendingRelease>& release, EngineId engine);
-  void onCallAnswered(CallNumber id, int status);
+  void onCallAnswered(CallNumber number, int status);
   void sendPendingTo(EngineId engine);
-  void finish(const std::shared_ptr<PendingRelease>& release, bool taken);
+  void finish(const std::shared_ptr<PendingRelease>& release, Ending ending);
+  void logFinished(const PendingRelease& release, Ending ending, Duration elapsed) const;
   std::optional<EngineId> selectEngine(const PendingRelease& release) const;
   bool allEnginesCalled(const PendingRelease& release) const;
-  // Whether the call would end its release: it is not from before a repeat.
-  static bool confirmsRelease(const Call& ask) { return ask.sentAt >= ask.release->requestedAt; }
+  // Whether a success of the call confirms its release: the call is not from before a repeat.
+  static bool confirmsRelease(const Call& call) { return call.sentAt >= call.release->requestedAt; }
   std::set<EngineId> enginesWithOpenCall(const PendingRelease& release) const;
   std::set<const PendingRelease*> releasesWithOpenCallTo(EngineId engine) const;
   bool canSendCall() const;
@@ -98,13 +108,12 @@
   Duration stepInterval_;
   net::TimerId stepTimer_ = 0;
   std::list<std::shared_ptr<PendingRelease>> pending_;                     // the oldest first
-  std::unordered_map<std::string, std::shared_ptr<PendingRelease>> byId_;  // the same
-  std::map<CallNumber, Call> calls_;                                       // that are out
-  std::map<EngineId, Instant>
-      lastAnswerAt_;  // when each engine last answered one, while releases are pending
+  std::unordered_map<std::string, std::shared_ptr<PendingRelease>> byId_;  // the same releases
+  std::map<CallNumber, Call> calls_;                                       // that are open
+  std::map<EngineId, Instant> lastAnswerAt_;                               // while releases are pending
   CallNumber lastCall_ = 0;
   Counters counters_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for callbacks that may outlive this
 };
 
 }  // namespace gannetcourse::platform
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,6 +1,7 @@
 // What a watch is told: objects out of bytes, news against old lists, and a watch that must show life.
 #include <random>
 
+#include "platform/json_stream_splitter.h"
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -8,50 +9,50 @@
 
 using namespace test;
 
-std::vector<std::string> cut(const std::string& bytes, std::size_t step) {
-  JsonStreamSplitter cutter;
+std::vector<std::string> split(const std::string& bytes, std::size_t step) {
+  JsonStreamSplitter splitter;
   std::vector<std::string> objects;
   for (std::size_t i = 0; i < bytes.size(); i += step)
-    cutter.feed(std::string_view(bytes).substr(i, step),
+    splitter.feed(std::string_view(bytes).substr(i, step),
                 [&](std::string o) { objects.push_back(std::move(o)); });
   return objects;
 }
 
-TEST(ObjectCutter, FindsObjectsHoweverTheyAreLaidOut) {
+TEST(JsonStreamSplitter, FindsObjectsHoweverTheyAreLaidOut) {
   const Json list = engineListJson(
       41, true, {engineJson("a{\"]}\\", "prefill", "10.0.0.1:1"), engineJson("b", "decode", "1.2.3.4:5")});
   const std::string bytes =
       list.dump() + "\n\n" + list.dump(2) + "\n" + list.dump(-1) + list.dump(1) + "\r\n\r\n";
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}, bytes.size()}) {
-    const auto objects = cut(bytes, step);
+    const auto objects = split(bytes, step);
     ASSERT_EQ(objects.size(), 4U);
     for (const auto& text : objects) EXPECT_EQ(Json::parse(text), list);
   }
 }
 
-TEST(ObjectCutter, AnEmptyLineIsLifeAndHalfAnObjectIsNot) {
-  JsonStreamSplitter cutter;
+TEST(JsonStreamSplitter, AnEmptyLineIsLifeAndHalfAnObjectIsNot) {
+  JsonStreamSplitter splitter;
   const auto none = [](const std::string&) { FAIL(); };
-  EXPECT_TRUE(cutter.feed("\n", none));
-  EXPECT_FALSE(cutter.feed("  ", none));
-  EXPECT_FALSE(cutter.feed("{\"index\": 3,\n \"endpoints\": [\n", none));
-  EXPECT_FALSE(cutter.feed("\n\n", none));
+  EXPECT_TRUE(splitter.feed("\n", none));
+  EXPECT_FALSE(splitter.feed("  ", none));
+  EXPECT_FALSE(splitter.feed("{\"index\": 3,\n \"endpoints\": [\n", none));
+  EXPECT_FALSE(splitter.feed("\n\n", none));
   int told = 0;
-  EXPECT_TRUE(cutter.feed("]}", [&](const std::string&) { ++told; }));
+  EXPECT_TRUE(splitter.feed("]}", [&](const std::string&) { ++told; }));
   EXPECT_EQ(told, 1);
 }
 
-TEST(ObjectCutter, SurvivesRandomBytes) {
+TEST(JsonStreamSplitter, SurvivesRandomBytes) {
   std::mt19937 random(3);
-  JsonStreamSplitter cutter;
+  JsonStreamSplitter splitter;
   for (int i = 0; i < 2000; ++i) {
     std::string bytes;
     for (std::size_t n = random() % 40; n > 0; --n) bytes.push_back("{}[]\"\\\n a"[random() % 9]);
-    cutter.feed(bytes, [](const std::string& object) { EXPECT_EQ(object.front(), '{'); });
+    splitter.feed(bytes, [](const std::string& object) { EXPECT_EQ(object.front(), '{'); });
   }
 }
 
-TEST(ReadTargets, ADrainOrRemovalCountsWhateverElseItsEntrySays) {
+TEST(ParseEngineListMessage, ADrainOrRemovalCountsWhateverElseItsEntrySays) {
   const Json bad = {{"group", -3},   {"address", 7},    {"type", Json::array()},
                     {"zone", false}, {"since_ms", "x"}, {"weight", nullptr}};
   for (const char* const status : {"draining", "removed"}) {
@@ -68,7 +69,7 @@
   }
 }
 
-TEST(ListVersion, OlderListsAreNoNewsUntilNothingElseComes) {
+TEST(EngineListVersion, OlderListsAreNoNewsUntilNothingElseComes) {
   using V = EngineListVersion::Decision;
   EngineListVersion version;
   const auto at = [](double s) { return Instant(Duration(s)); };
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,6 +1,7 @@
 // A whole node on the platform's protocol, with scripted clients, engines and a discovery on loopback.
 #include <random>
 
+#include "platform/load_report.h"
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -135,12 +136,12 @@
 
 // Every row of the outcome table at a writer, and what the client and the module get of it.
 TEST_F(PlatformTest, EachWayAnAttemptEndsIsOneOutcome) {
-  EXPECT_EQ(outcomeOf(202, false, true), Outcome::kPrefilled);
-  EXPECT_EQ(outcomeOf(500, false, false), Outcome::kError);
-  EXPECT_EQ(outcomeOf(503, true, false), Outcome::kRejected);
-  EXPECT_EQ(outcomeOf(504, true, true), Outcome::kRejected);
-  EXPECT_EQ(outcomeOf(503, false, false), Outcome::kError);  // it may have run
-  EXPECT_EQ(outcomeOf(410, true, false), Outcome::kStateLost);
+  EXPECT_EQ(outcomeOf(202, false, AttemptKind::kPrefill), Outcome::kPrefilled);
+  EXPECT_EQ(outcomeOf(500, false, AttemptKind::kDecode), Outcome::kError);
+  EXPECT_EQ(outcomeOf(503, true, AttemptKind::kDecode), Outcome::kRejected);
+  EXPECT_EQ(outcomeOf(504, true, AttemptKind::kPrefill), Outcome::kRejected);
+  EXPECT_EQ(outcomeOf(503, false, AttemptKind::kDecode), Outcome::kError);  // it may have run
+  EXPECT_EQ(outcomeOf(410, true, AttemptKind::kDecode), Outcome::kStateLost);
   EXPECT_EQ(outcomeOf(http1::CallResult::kNotConnected), Outcome::kConnectFailed);
   EXPECT_EQ(outcomeOf(http1::CallResult::kConnectionLost), Outcome::kReset);
   EXPECT_EQ(outcomeOf(http1::CallResult::kMalformed), Outcome::kError);
--- a/wirehost/wire.h
+++ b/wirehost/wire.h
@@ -1,4 +1,4 @@
-// The wire of the bench: JSON lines to and from the module's interface. No decision is made here.
+// The wire of the bench: batches of JSON lines to and from the decision module. Makes no decision.
 #pragma once
 
 #include <istream>
@@ -6,8 +6,8 @@
 
 namespace gannetcourse::wire {
 
-// Serves batches from `in` until its end. Returns the exit code; on malformed input it writes one plain line
-// to `err`, nothing of the unfinished batch to `out`, and returns 1.
+/// Serves batches from `in` until its end and returns the exit code. On malformed input it writes one line to
+/// `err`, nothing of the unfinished batch to `out`, and returns 1.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace gannetcourse::wire
