--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -11,7 +11,7 @@
   FleetPlan plan;
 };
 
-// Tests are named by it.
+// Tests are named by it. NOLINTNEXTLINE(readability-identifier-naming): the test library looks for this name
 void PrintTo(const SlowStartCase& given, std::ostream* out) { *out << given.name; }
 
 class WarmingEngines : public ::testing::TestWithParam<SlowStartCase> {};
