--- a/tests/engine_health_test.cpp
+++ b/tests/engine_health_test.cpp
@@ -1,4 +1,6 @@
 // Ejection of engines that fail or cannot be reached.
+#include "policy/engine_health.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -137,5 +139,86 @@
   }
 }
 
+// The failure scores by themselves, for one engine of three.
+class FailureScores : public ::testing::Test {
+ protected:
+  FailureScores() {
+    setTime(0);
+    registry_.apply({EngineListUpdate::Scope::kSnapshot,
+                     {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kPrefill)}});
+    request_.healthKeys = {policy::HealthKey::ofClass(0), policy::HealthKey::ofTenant(0)};
+    ofOtherTenant_.healthKeys = {policy::HealthKey::ofClass(0), policy::HealthKey::ofTenant(1)};
+  }
+
+  void setTime(double seconds) { context_.beginEvent(Instant(Duration(seconds)), actions_); }
+  policy::Engine& engine(std::uint32_t id) { return *registry_.find({id}); }
+  double score(const policy::Request& request) { return health_.failureScore(engine(1), request); }
+
+  std::vector<Action> actions_;
+  policy::DecisionContext context_{twoStageSettings()};
+  policy::PromptStatistics prompts_{context_};
+  policy::RoleAggregates aggregates_;
+  policy::SlowStart slowStart_{context_, aggregates_, prompts_};
+  policy::EngineRegistry registry_{slowStart_};
+  policy::EngineHealth health_{context_, registry_, slowStart_};
+  policy::Request request_, ofOtherTenant_;
+};
+
+TEST_F(FailureScores, TwoFailuresEjectAndTimeReducesTheScore) {
+  EXPECT_DOUBLE_EQ(score(request_), 0);
+  health_.recordFailure(engine(1), request_, Outcome::kError);
+  EXPECT_TRUE(health_.isHealthyFor(engine(1), request_));
+  engine(1).attempts.prefilling = 1;
+  EXPECT_FALSE(health_.isHealthyFor(engine(1), request_)) << "one request at a time";
+  engine(1).attempts.prefilling = 0;
+  health_.recordFailure(engine(1), request_, Outcome::kError);
+  EXPECT_FALSE(health_.isHealthyFor(engine(1), request_));
+  setTime(8);
+  EXPECT_TRUE(health_.isHealthyFor(engine(1), request_));
+}
+
+TEST_F(FailureScores, ASuccessReducesTheScoreAndEndsLostContact) {
+  health_.recordFailure(engine(1), request_, Outcome::kError);
+  health_.recordFailure(engine(1), request_, Outcome::kConnectFailed);
+  EXPECT_DOUBLE_EQ(score(request_), 0.68) << "lost contact counts for more than one failure";
+  health_.recordSuccess(engine(1), request_);
+  EXPECT_DOUBLE_EQ(score(request_), 0.6 * 0.34);
+  EXPECT_EQ(engine(1).slowStart.since, context_.now()) << "slow start after lost contact";
+}
+
+TEST_F(FailureScores, TheLowerOfClassAndTenantCountsButLostContactCountsForAll) {
+  health_.recordFailure(engine(1), request_, Outcome::kRejected);
+  health_.recordSuccess(engine(1), ofOtherTenant_);
+  EXPECT_DOUBLE_EQ(score(ofOtherTenant_), 0);
+  EXPECT_DOUBLE_EQ(score(request_), 0.6 * 0.34) << "its class has the lower score";
+  health_.recordFailure(engine(1), request_, Outcome::kReset);
+  EXPECT_DOUBLE_EQ(score(ofOtherTenant_), 0.34);
+}
+
+TEST_F(FailureScores, SilenceEjectsNobodyOnceHalfOfTheRoleIsEjected) {
+  health_.recordFailure(engine(2), request_, Outcome::kTimeout);
+  EXPECT_FALSE(health_.isHealthyFor(engine(2), request_));
+  health_.recordFailure(engine(1), request_, Outcome::kTimeout);
+  EXPECT_DOUBLE_EQ(score(request_), 0);
+  health_.recordFailure(engine(1), request_, Outcome::kError);
+  EXPECT_DOUBLE_EQ(score(request_), 0.34) << "errors count all the same";
+}
+
+TEST_F(FailureScores, LatenessCountsUntilItIsCleared) {
+  health_.recordOverdue(engine(1), Duration(0.2));
+  health_.recordOverdue(engine(1), Duration(0.1));
+  EXPECT_DOUBLE_EQ(health_.penalty(engine(1), request_).count(), 0.2);
+  health_.clearOverdue();
+  EXPECT_DOUBLE_EQ(health_.penalty(engine(1), request_).count(), 0);
+}
+
+TEST_F(FailureScores, ARestartClearsThem) {
+  health_.recordFailure(engine(1), request_, Outcome::kTimeout);
+  EngineEntry restarted = server(1, Role::kPrefill);
+  restarted.startedAt = context_.now();
+  registry_.apply({EngineListUpdate::Scope::kDelta, {restarted}});
+  EXPECT_DOUBLE_EQ(score(request_), 0);
+}
+
 }  // namespace
 }  // namespace gannetcourse::test
