--- a/src/policy/attempt_manager.cpp
+++ b/src/policy/attempt_manager.cpp
@@ -58,9 +58,9 @@
 
 // How long an attempt may take before its engine counts as silent; under overload all of them take long.
 Duration AttemptManager::patience(const Request& request) const {
-  const Duration usual = std::max(request.expectedDuration, costs_.typicalDuration(request));
+  const Duration typical = std::max(request.expectedDuration, costs_.typicalDuration(request));
   const Duration least = kTimeoutObjectiveFactor * (request.objectiveAt - request.arrivedAt);
-  return std::max(kTimeoutFactor * usual, least) * (1 + request.timeouts);
+  return std::max(kTimeoutFactor * typical, least) * (1 + request.timeouts);
 }
 
 void AttemptManager::onStreamStarted(Request& request, Engine& engine) {
--- a/src/policy/prefix_affinity.cpp
+++ b/src/policy/prefix_affinity.cpp
@@ -57,11 +57,11 @@
 }
 
 // A prefix that sessions share is cached best where all of them are prefilled: their preferred engines go by
-// the prefix, on as many engines as its share of the requests needs.
+// the prefix, on as many engines as its fraction of the requests needs.
 std::uint64_t PrefixAffinity::affinityKey(const RequestArrived& request) const {
   if (request.prefixKey == 0) return request.sessionKey;
-  const double share = popularity_.shareOf(request.prefixKey, context_.now());
-  const double engines = 1 + kPreferredEngineSpread * share * aggregates_.of(Role::kPrefill).engines;
+  const double fraction = popularity_.fractionOf(request.prefixKey, context_.now());
+  const double engines = 1 + kPreferredEngineSpread * fraction * aggregates_.of(Role::kPrefill).engines;
   const double lot = toUnitInterval(hashCombine(request.sessionKey, kSpreadSalt));
   return hashCombine(request.prefixKey, static_cast<std::uint64_t>(lot * engines));
 }
--- a/src/policy/prefix_tables.cpp
+++ b/src/policy/prefix_tables.cpp
@@ -36,7 +36,7 @@
   allRequests_.add(1, now, kPopularityDecay);
 }
 
-double PrefixPopularity::shareOf(std::uint64_t prefix, Instant now) const {
+double PrefixPopularity::fractionOf(std::uint64_t prefix, Instant now) const {
   const auto it = requests_.find(prefix);
   const double others = it == requests_.end() ? 0 : it->second.get(now, kPopularityDecay) - 1;
   return others / (allRequests_.get(now, kPopularityDecay) + kPopularityPrior);
--- a/src/policy/prefix_tables.h
+++ b/src/policy/prefix_tables.h
@@ -37,8 +37,8 @@
  public:
   /// A request with the prefix has arrived.
   void record(std::uint64_t prefix, Instant now);
-  /// The prefix's share of all requests, one request of its own left out.
-  double shareOf(std::uint64_t prefix, Instant now) const;
+  /// The prefix's fraction of all requests, one request of its own left out.
+  double fractionOf(std::uint64_t prefix, Instant now) const;
   /// Drops rare prefixes once there are very many.
   void prune(Instant now);
 
--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -244,9 +244,9 @@
     const auto opened = open_.find(start.id.value);
     const double prompt = opened == open_.end() ? 0 : opened->second.prompt;
     const double fresh = std::max(0.0, prompt - kCached * plan_.promptScale);
-    const double usual = (kPrompt - kCached) * plan_.promptScale;
+    const double typical = (kPrompt - kCached) * plan_.promptScale;
     double& busyUntil = busyUntil_[start.engine];
-    busyUntil = std::max(busyUntil, now_) + fresh / usual / plan_.capacity;
+    busyUntil = std::max(busyUntil, now_) + fresh / typical / plan_.capacity;
     return busyUntil - now_;
   }
 
--- a/tests/load_score_test.cpp
+++ b/tests/load_score_test.cpp
@@ -11,16 +11,16 @@
 // Engines that corrupt their responses may report any number that can be parsed. The requests after them are
 // admitted and spread as if none had.
 TEST(LoadReports, AbsurdFiguresNeitherExcludeAnEngineNorSpoilTheOthersEstimates) {
-  const auto spread = [](bool absurdKept, bool absurdLoad) {
+  const auto spread = [](bool absurdCached, bool absurdLoad) {
     Settings settings = twoStageSettings();
     settings.loadReportSource = LoadReportSource::kResponses;
     PolicyHost host(settings);
     host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
-    const auto serve = [&](double at, const std::string& id, double kept, double figure) {
+    const auto serve = [&](double at, const std::string& id, double cachedTokens, double figure) {
       const std::uint32_t prefillEngine = sentTo(host.request(at, id));
       if (prefillEngine == 0) return prefillEngine;
-      AttemptEnded prefill{{id},  0,    {prefillEngine}, Outcome::kPrefilled,
-                           false, kept, Duration(0.05),  LoadReport{}};
+      AttemptEnded prefill{
+          {id}, 0, {prefillEngine}, Outcome::kPrefilled, false, cachedTokens, Duration(0.05), LoadReport{}};
       prefill.load->memoryUtilization = prefill.load->slotUtilization = prefill.load->requestsQueued = figure;
       host.feed(at + 0.05, prefill);
       host.streamStarted(at + 0.06, id, 3);
@@ -29,9 +29,9 @@
       return prefillEngine;
     };
     for (int i = 0; i < 20; ++i) serve(1.1 + i * 0.1, "before" + std::to_string(i), 100, 0.2);
-    serve(4, "absurd", absurdKept ? 1e300 : 100, absurdLoad ? 1e300 : 0.2);
-    serve(4.1, "negative", absurdKept ? -1e300 : 100, 0.2);
-    serve(4.2, "no cost", absurdKept ? 1300 : 100,
+    serve(4, "absurd", absurdCached ? 1e300 : 100, absurdLoad ? 1e300 : 0.2);
+    serve(4.1, "negative", absurdCached ? -1e300 : 100, 0.2);
+    serve(4.2, "no cost", absurdCached ? 1300 : 100,
           0.2);  // as many as the prompt and the fixed cost of a prefill
     host.runUntil(12);
     std::map<std::uint32_t, int> prefillEngines;
--- a/tests/policy_records_test.cpp
+++ b/tests/policy_records_test.cpp
@@ -49,11 +49,11 @@
 TEST(PrefixPopularity, LeavesOutTheRequestAtHand) {
   PrefixPopularity popularity;
   popularity.record(7, at(0));
-  EXPECT_DOUBLE_EQ(popularity.shareOf(7, at(0)), 0);
+  EXPECT_DOUBLE_EQ(popularity.fractionOf(7, at(0)), 0);
   for (int i = 0; i < 4; ++i) popularity.record(7, at(0));
   popularity.record(8, at(0));
   // Four others of six requests, and four more that are taken as seen.
-  EXPECT_DOUBLE_EQ(popularity.shareOf(7, at(0)), 0.4);
+  EXPECT_DOUBLE_EQ(popularity.fractionOf(7, at(0)), 0.4);
 }
 
 TEST(LoadReportBounds, NoFigureIsNegativeAbsurdOrNotANumber) {
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -97,7 +97,7 @@
     r.tenant = static_cast<std::size_t>(draw(2));
     r.isRetry = draw(10) == 0;
     r.timeUntilDeadline = Duration(0.5 + draw(30) * 0.1);
-    r.sessionKey = static_cast<std::uint64_t>(1 + draw(20));
+    r.sessionKey = 1 + static_cast<std::uint64_t>(draw(20));
     r.prefixKey = static_cast<std::uint64_t>(draw(4));
     r.prefixTokens = r.prefixKey == 0 ? 0 : 400;
     r.promptTokens = 500 + draw(4000);
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -147,8 +147,8 @@
 
   // A decode engine that waits for the state keeps it.
   void onRelease(OpenRequest& r) {
-    const bool waitsThere = r.inFlight && r.arrived && role(r.engine) != Role::kPrefill;
-    if (!waitsThere) r.stateLeased = false;
+    const bool waitsForState = r.inFlight && r.arrived && role(r.engine) != Role::kPrefill;
+    if (!waitsForState) r.stateLeased = false;
   }
 
   void onStartAttempt(const StartAttempt& start) {
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -18,9 +18,9 @@
     host.streamStarted(1.13 + i * 0.05, id, 2);
     host.attemptEnded(1.14 + i * 0.05, id, 2, Outcome::kOk, true);
   }
-  EngineEntry cold = server(9, Role::kPrefill);
-  cold.startedAt = Instant(Duration(6.2));
-  host.engineList(6.2, {cold}, EngineListUpdate::Scope::kDelta);
+  EngineEntry warming = server(9, Role::kPrefill);
+  warming.startedAt = Instant(Duration(6.2));
+  host.engineList(6.2, {warming}, EngineListUpdate::Scope::kDelta);
   int sends = 0;
   for (int i = 0; i < 200; ++i) {  // within its first 2 s, at 100 a second
     host.request(6.2 + i * 0.01, "c" + std::to_string(i), 100);
@@ -34,9 +34,9 @@
 
 TEST(SlowStart, ARouterThatKnowsNothingStartsOneAWindow) {
   PolicyHost host(twoStageSettings());
-  EngineEntry cold = server(1, Role::kPrefill);
-  cold.startedAt = Instant(Duration(0.9));
-  host.engineList(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  EngineEntry warming = server(1, Role::kPrefill);
+  warming.startedAt = Instant(Duration(0.9));
+  host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 10; ++i) host.request(1.1 + i * 0.01, "r" + std::to_string(i), 100);
   EXPECT_EQ(only<StartAttempt>(host.all).size(), 1U);
 }
@@ -75,10 +75,10 @@
 TEST(SlowStart, ManyRoutersThatKnowNothingStartFewTogether) {
   Settings settings = twoStageSettings();
   settings.routerCount = 6;
-  EngineEntry cold = server(1, Role::kPrefill);
-  cold.startedAt = Instant(Duration(0.9));
+  EngineEntry warming = server(1, Role::kPrefill);
+  warming.startedAt = Instant(Duration(0.9));
   PolicyHost host(settings);
-  host.engineList(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 50; ++i) host.request(1.1 + i * 0.1, "r" + std::to_string(i), 100, 10);
   EXPECT_LE(only<StartAttempt>(host.all).size(), 1U) << "a third of a request in each window of 2 s";
 }
@@ -116,13 +116,13 @@
 TEST(SlowStart, RoutersThatHearOfAnEngineTogetherDoNotAllStartWithIt) {
   Settings settings = twoStageSettings();
   settings.routerCount = 300;
-  EngineEntry cold = server(1, Role::kPrefill);
-  cold.startedAt = Instant(Duration(0.9));
+  EngineEntry warming = server(1, Role::kPrefill);
+  warming.startedAt = Instant(Duration(0.9));
   int sends = 0, later = 0;
   for (int router = 0; router < settings.routerCount; ++router) {
     settings.seed = 1000 + static_cast<std::uint64_t>(router);
     PolicyHost host(settings);
-    host.engineList(1, {cold, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+    host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
     for (int i = 0; i < 45; ++i) {
       host.request(1.1 + i * 0.2, "r" + std::to_string(i), 100, 10);
       const std::size_t now = only<StartAttempt>(host.last).size() +
