--- a/include/gannetcourse/recovery.h
+++ b/include/gannetcourse/recovery.h
@@ -28,8 +28,8 @@
   int maxAttempts = 4;  ///< Of one request in all; a continuation takes two, a prefill and a decode call.
   Duration minTimeLeft{0.5};  ///< Until the client's deadline, for a continuation to begin.
   Duration maxWait{1.5};      ///< How long a lost stream waits for its share of the budget.
-  double rebuildShare =
-      0.5;  ///< Prompt tokens that continuations may prefill, of those that new requests do.
+  /// Prompt tokens that continuations may prefill, as a share of those that new requests do.
+  double rebuildShare = 0.5;
   double rebuildBurst = 100000;  ///< The same ahead of new requests, tokens.
 
   // ---- When a stream is taken from its engine ----
@@ -56,8 +56,8 @@
 struct Stream {
   std::size_t classIndex = 0;
   EngineId engine;
-  double promptTokens =
-      0;  ///< What a continuation would have to prefill, without the tokens sent from here on.
+  /// What a continuation would have to prefill, without the tokens sent from here on.
+  double promptTokens = 0;
   double remainingTokens = 0;  ///< The most that may still come.
   Instant deadline{};
   int continuations = 0, attempts = 0;  ///< Of its request so far.
@@ -79,12 +79,14 @@
   AttemptEnd attemptEnd = AttemptEnd::kConfirmed;
 };
 
+/// What is to be done with a stream that is lost.
 enum class Disposition {
   kContinue,
   kWait,        ///< For the budget; takeDueStreams() names it later.
   kFenceFirst,  ///< Its engine is to be asked to end the attempt; until that is certain it waits.
   kGiveUp
 };
+/// A disposition with its reason.
 struct Decision {
   Disposition disposition = Disposition::kGiveUp;
   std::string reason;  ///< For the records, and for the client where the stream is given up.
@@ -115,6 +117,7 @@
   /// The engine is to shut down, and does not say when.
   void onGoAway(Instant now, EngineId engine);
 
+  /// A stream to be taken from its engine.
   struct Migration {
     StreamKey stream = 0;
     const char* reason = "";
@@ -129,9 +132,12 @@
   std::vector<Migration> streamsToMigrate(Instant now);
 
   // ---- Streams that are lost ----
+  /// A stream has ended early, or was cancelled by the host. A stream that waits stays known until
+  /// takeDueStreams() names it or forget().
   Decision onStreamLost(Instant now, const LostStream& stream);
   /// The engine has confirmed that the attempt has ended: whether the stream is continued now, or waits.
   Disposition onAttemptFenced(Instant now, StreamKey stream);
+  /// Streams that wait, by what is to be done with them now.
   struct DueStreams {
     std::vector<StreamKey> toContinue;  ///< Now, the greatest priority weight first.
     std::vector<StreamKey> toGiveUp;    ///< They have waited for too long.
@@ -146,6 +152,7 @@
 
   /// When streamsToMigrate() and takeDueStreams() are to be called; absent: there is no stream.
   std::optional<Instant> nextCheck() const;
+  /// Text of all streams that the host is to have buffered.
   std::uint64_t bufferedBytes() const { return bufferedBytes_; }
 
  private:
--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -42,6 +42,7 @@
   std::string generatedText;         ///< The same as text.
 };
 
+/// A client's request as the host accepts it.
 struct NewRequest {
   RequestKey key = 0;
   std::string id;  ///< Its name for engines, of no other open request; empty = the core names it.
@@ -60,6 +61,7 @@
 
 // ---- Commands: to be carried out in the order given ----
 
+/// How a request ended.
 enum class FinalStatus { kServed, kRejected, kFailed, kDeadlineExceeded };
 const char* nameOf(FinalStatus status);  ///< The name on the wire.
 
@@ -94,6 +96,7 @@
   CallKey call = 0;
 };
 
+/// Asks a decode engine to reserve capacity for `tokens` prompt tokens; see onReservationResult().
 struct ReserveCapacity {
   RequestKey request = 0;
   std::string id;
@@ -125,6 +128,7 @@
   EngineId engine;
 };
 
+/// One token for the client. Indexes begin at 0, or where a resumed stream broke off, and have no gaps.
 struct SendToken {
   RequestKey request = 0;
   std::uint32_t index = 0;
@@ -139,11 +143,14 @@
   std::string reason;
 };
 
+/// Sends a health check; it ends with onProbeEnded().
 struct ProbeEngine {
   EngineId engine;
 };
 
+/// Watches the engine list; updates come by onEngineListUpdate().
 struct Subscribe {};
+/// Fetches the engine list once; it comes by onEngineListUpdate().
 struct Fetch {};
 
 /// What a record tells of.
@@ -188,10 +195,12 @@
   std::string reason;
 };
 
+/// What the host is to carry out; commands own what they carry.
 using Command =
     std::variant<StartPrefill, StartDecode, CancelCall, ReserveCapacity, ReleaseState, FenceAttempt,
                  ResumePoint, SendToken, FinalResponse, ProbeEngine, Subscribe, Fetch, Record>;
 
+/// What a core needs to know beside the settings, for as long as it lives.
 struct Options {
   std::string nodeName = "node";  ///< Unique among routers and starts: request names begin with it.
   Duration responseMargin{0.05};  ///< How long before the client's deadline a running stream is ended.
@@ -211,6 +220,7 @@
   kStateLeaseExpired,        ///< A state was held for longer than the limit.
   kCount
 };
+/// The name in the log and in the account line.
 const char* nameOf(Violation violation);
 using ViolationCounts = std::array<std::uint64_t, static_cast<std::size_t>(Violation::kCount)>;
 std::uint64_t total(const ViolationCounts& counts);
@@ -240,7 +250,7 @@
   // ---- Clients ----
   void onRequest(Instant now, NewRequest request);
   void onClientDisconnected(Instant now, RequestKey request);
-  /// Whether the client takes nothing for now.
+  /// Whether the client takes nothing for now; no effect where the request has no stream.
   void onClientPaused(Instant now, RequestKey request, bool paused);
 
   // ---- Engines. Calls that are over already are passed over. ----
--- a/src/router/core_context.h
+++ b/src/router/core_context.h
@@ -11,6 +11,7 @@
 
 namespace gannetcourse::router {
 
+/// Owned by the core; its parts hold references to it.
 struct CoreContext {
   CoreContext(const Settings& initialSettings, Options coreOptions)
       : settings(initialSettings), options(std::move(coreOptions)), guard(initialSettings) {}
--- a/src/router/engine_roles.h
+++ b/src/router/engine_roles.h
@@ -9,6 +9,7 @@
 
 namespace gannetcourse::router {
 
+/// The list of engines as far as the core needs it, kept by the updates of discovery.
 class EngineRoles {
  public:
   /// Returns the engines that the update names as removed.
--- a/src/router/orphaned_states.h
+++ b/src/router/orphaned_states.h
@@ -20,8 +20,10 @@
 
 namespace gannetcourse::router {
 
+/// Says when which release is to be sent; sends nothing itself.
 class OrphanedStates {
  public:
+  /// An attempt that may have left a state.
   struct Attempt {
     std::string id;  ///< The request's name for engines.
     int number = 0;
--- a/src/router/policy_actions.h
+++ b/src/router/policy_actions.h
@@ -14,6 +14,8 @@
 
 namespace gannetcourse::router {
 
+/// One overload for each action. A later or invalid action has no effect; a blocked attempt is reported to
+/// the policy.
 class PolicyActions {
  public:
   /// The parts that actions are carried out with; they outlive this.
--- a/src/router/policy_runner.h
+++ b/src/router/policy_runner.h
@@ -4,12 +4,14 @@
 
 #include <deque>
 #include <functional>
+#include <utility>
 
 #include "gannetcourse/policy.h"
 #include "router/core_context.h"
 
 namespace gannetcourse::router {
 
+/// Owns the policy.
 class PolicyRunner {
  public:
   /// `execute` may call feed().
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -12,6 +12,7 @@
 
 namespace gannetcourse::router {
 
+/// One request, from its arrival until it is finished.
 struct Request {
   RequestKey key = 0;
   std::string name;      // the core's own, unique among routers
@@ -46,6 +47,7 @@
   bool isFinished() const { return isCompleted && callInFlight == 0; }
 };
 
+/// One call to an engine, from its start until its end or its cancellation.
 struct Call {
   Request* request = nullptr;  // never null; a request outlives its calls
   int attempt = 0;
--- a/src/router/request_completion.h
+++ b/src/router/request_completion.h
@@ -12,6 +12,7 @@
 
 namespace gannetcourse::router {
 
+/// Completes requests; owns no state. A request is completed once.
 class RequestCompletion {
  public:
   RequestCompletion(CoreContext& context, RecordLog& log, RequestTable& requests, AttemptTracker& attempts,
--- a/src/router/state_releaser.h
+++ b/src/router/state_releaser.h
@@ -11,6 +11,7 @@
 
 namespace gannetcourse::router {
 
+/// Owns the record of orphaned states; what a request holds at engines is in its Request.
 class StateReleaser {
  public:
   StateReleaser(CoreContext& context, RecordLog& log, RequestTable& requests)
--- a/src/router/stream_continuation.h
+++ b/src/router/stream_continuation.h
@@ -17,6 +17,7 @@
 
 namespace gannetcourse::router {
 
+/// Owns the recovery module; the state of a single stream is in its Request.
 class StreamContinuation {
  public:
   StreamContinuation(CoreContext& context, RecordLog& log, RequestTable& requests, AttemptTracker& attempts,
--- a/src/router/timer_queue.h
+++ b/src/router/timer_queue.h
@@ -12,6 +12,7 @@
 
 namespace gannetcourse::router {
 
+/// Who waits for the timer.
 enum class TimerKind {
   kPolicy,          ///< Set by the policy.
   kCallTimeout,     ///< `key` is the call.
@@ -20,12 +21,14 @@
   kOrphanedStates,  ///< Releases of orphaned states are due.
 };
 
+/// What a timer is for.
 struct Timer {
   TimerKind kind = TimerKind::kPolicy;
   std::uint64_t key = 0;
   std::string policyTimer;  ///< The policy's name of it.
 };
 
+/// Owns its timers. A timer that was taken is no longer in it.
 class TimerQueue {
  public:
   /// Valid from schedule() until the timer is taken or cancelled; then its holder has to reset it.
