--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -11,6 +11,7 @@
 #include <map>
 #include <memory>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <variant>
 #include <vector>
@@ -20,10 +21,16 @@
 
 namespace gannetcourse::router {
 
+/// New settings under which an open request would get another meaning; the text names what is in the way.
+class IncompatibleSettings : public std::invalid_argument {
+ public:
+  using std::invalid_argument::invalid_argument;
+};
+
 using RequestKey = std::uint64_t;  ///< The host's number of a request; never used twice.
 using CallKey = std::uint64_t;     ///< The core's number of a call to an engine; never used twice.
 
-/// What engines are told of a request. The core passes it on unread.
+/// What engines need to know of a request. The core forwards it unread.
 struct RequestPayload {
   std::string requestClass, tenant, session, prefixKey, prompt;
   std::string target;  ///< Request target, where the engines' protocol forwards the client's; else empty.
@@ -46,7 +53,7 @@
 struct NewRequest {
   RequestKey key = 0;
   std::string id;  ///< Its name for engines, of no other open request; empty = the core names it.
-  Duration timeUntilDeadline{0};  ///< Until the client gives up on the whole answer.
+  Duration timeUntilDeadline{0};  ///< Until the client gives up on the complete answer.
   bool deadlineEndsAtFirstToken =
       false;                      ///< The deadline is met by the first token; the stream has no limit.
   Duration firstTokenTimeout{0};  ///< Until the client gives up on the first token; 0 = timeUntilDeadline.
@@ -217,7 +224,7 @@
   kDuplicateEffect,          ///< An attempt that could have a second effect.
   kRejectedAfterStart,       ///< A rejection though an attempt may have run.
   kAttemptToDrainingEngine,  ///< An attempt to an engine that drains or is off the list.
-  kStateLeaseExpired,        ///< A state was held for longer than the limit.
+  kStateLeaseExpired,        ///< A state was leased for longer than the limit.
   kCount
 };
 /// The name in the log and in the account line.
@@ -273,7 +280,7 @@
 
   // ---- The host ----
   /// New settings in service; see SettingsChanged. Open requests stay open, with their attempts and their
-  /// states. Throws std::invalid_argument where an earlier class or tenant is missing or has another
+  /// states. Throws IncompatibleSettings where an earlier class or tenant is missing or has another
   /// idempotency; then nothing has changed.
   void reconfigure(Instant now, const Settings& settings);
   void drain(Instant now);    ///< From now on new requests are rejected.
--- a/src/router/core.cpp
+++ b/src/router/core.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 // By which share of the response margin the core's own limit on a request comes before its deadline: the
-// policy's, which comes a whole margin before, goes first.
+// policy's, which comes a full margin before, takes effect first.
 constexpr double kTimeoutMarginShare = 0.5;
 
 }  // namespace
--- a/src/router/policy_actions.cpp
+++ b/src/router/policy_actions.cpp
@@ -30,7 +30,7 @@
   parts_.attempts.start(*request, action, kind);
 }
 
-// The policy hears of the attempt as of one that was not sent. Null: it names a request that is over.
+// Reports the attempt to the policy as not sent. `request` is null where the action names none that is open.
 void PolicyActions::block(const StartAttempt& action, const Request* request) {
   ++parts_.context.counters.actionsBlocked;
   AttemptEnded ended;
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -20,7 +20,7 @@
   std::string policyId;  // its name for the policy, to which each continuation is a new request
   NewRequest arrival;
   std::shared_ptr<const RequestPayload> payload;  // of the current continuation
-  Instant deadline;                               // when its client gives up on the whole answer
+  Instant deadline;                               // when its client gives up on the complete answer
 
   bool isCompleted = false;  // it has its final response, or its client has disconnected
   bool isStreaming = false;  // the attempt in flight has brought its first token
--- a/src/router/settings_compatibility.cpp
+++ b/src/router/settings_compatibility.cpp
@@ -1,7 +1,8 @@
 #include "router/settings_compatibility.h"
 
 #include <cstddef>
-#include <stdexcept>
+
+#include "gannetcourse/router.h"
 
 namespace gannetcourse::router {
 namespace {
@@ -23,7 +24,7 @@
 
 void requireCompatible(const Settings& current, const Settings& updated) {
   if (!isCompatible(current, updated))
-    throw std::invalid_argument("rule 2 (no effect twice): a class or tenant lost its place");
+    throw IncompatibleSettings("rule 2 (no effect twice): a class or tenant lost its place");
 }
 
 recovery::Limits recoveryLimits(const Settings& settings, recovery::Limits limits) {
--- a/src/router/settings_compatibility.h
+++ b/src/router/settings_compatibility.h
@@ -7,7 +7,7 @@
 namespace gannetcourse::router {
 
 /// Open requests are finished under their class, so the index of a class or tenant may not get another
-/// meaning. Throws std::invalid_argument where `updated` drops a class or tenant of `current`, or where a
+/// meaning. Throws IncompatibleSettings where `updated` drops a class or tenant of `current`, or where a
 /// class has another idempotency or another deduplication.
 void requireCompatible(const Settings& current, const Settings& updated);
 
--- a/src/router/stream_continuation.h
+++ b/src/router/stream_continuation.h
@@ -1,6 +1,6 @@
 // Streams from their first token on: what is buffered of them, when they are taken from their engine, and how
-// a lost one goes on at another. The recovery module decides whether and when; this carries it out. A
-// continuation is a new request to the policy, under the same request of the client.
+// a lost stream is continued at another engine. The recovery module decides whether and when; this carries it
+// out. A continuation is a new request to the policy, within the same request of the client.
 #pragma once
 
 #include <optional>
@@ -40,7 +40,7 @@
   /// The stream's call has ended early. Continues the stream, at once or later, or gives the final response.
   void onStreamLost(Request& request, AttemptEnded ended, const std::string& reason,
                     recovery::AttemptEnd attemptEnd);
-  /// Cancels the stream's call, though its engine may still be sending, and goes on as above.
+  /// Cancels the stream's call, though its engine may still be sending, and continues as onStreamLost() does.
   void takeFromEngine(Request& request, Outcome outcome, const char* reason);
   /// Begins a request whose answer broke off with another router, or with another call to this one.
   void resume(Request& request, ResumedStream stream);
--- a/tests/core_requests_test.cpp
+++ b/tests/core_requests_test.cpp
@@ -39,9 +39,9 @@
 TEST_F(CoreRequestsTest, ReconfigureRejectsAClassWithAnotherMeaning) {
   Settings other = test::twoStageSettings();
   other.classes[0].idempotency = Idempotency::kAtMostOnce;
-  EXPECT_THROW(core.reconfigure(at(1), other), std::invalid_argument);
+  EXPECT_THROW(core.reconfigure(at(1), other), IncompatibleSettings);
   other.classes.clear();
-  EXPECT_THROW(core.reconfigure(at(1), other), std::invalid_argument);
+  EXPECT_THROW(core.reconfigure(at(1), other), IncompatibleSettings);
   const CallKey call = startStream(1, 7);
   core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
   EXPECT_EQ(core.counters().served, 1u);
