--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -11,6 +11,7 @@
 #include <map>
 #include <memory>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <variant>
 #include <vector>
@@ -20,10 +21,16 @@
 
 namespace gannetcourse::router {
 
+/// New settings under which an open request would get another meaning; the text names what is in the way.
+class IncompatibleSettings : public std::invalid_argument {
+ public:
+  using std::invalid_argument::invalid_argument;
+};
+
 using RequestKey = std::uint64_t;  ///< The host's number of a request; never used twice.
 using CallKey = std::uint64_t;     ///< The core's number of a call to an engine; never used twice.
 
-/// What engines are told of a request. The core passes it on unread.
+/// What engines need to know of a request. The core forwards it unread.
 struct RequestPayload {
   std::string requestClass, tenant, session, prefixKey, prompt;
   std::string target;  ///< Request target, where the engines' protocol forwards the client's; else empty.
@@ -42,10 +49,11 @@
   std::string generatedText;         ///< The same as text.
 };
 
+/// A client's request as the host accepts it.
 struct NewRequest {
   RequestKey key = 0;
   std::string id;  ///< Its name for engines, of no other open request; empty = the core names it.
-  Duration timeUntilDeadline{0};  ///< Until the client gives up on the whole answer.
+  Duration timeUntilDeadline{0};  ///< Until the client gives up on the complete answer.
   bool deadlineEndsAtFirstToken =
       false;                      ///< The deadline is met by the first token; the stream has no limit.
   Duration firstTokenTimeout{0};  ///< Until the client gives up on the first token; 0 = timeUntilDeadline.
@@ -60,6 +68,7 @@
 
 // ---- Commands: to be carried out in the order given ----
 
+/// How a request ended.
 enum class FinalStatus { kServed, kRejected, kFailed, kDeadlineExceeded };
 const char* nameOf(FinalStatus status);  ///< The name on the wire.
 
@@ -94,6 +103,7 @@
   CallKey call = 0;
 };
 
+/// Asks a decode engine to reserve capacity for `tokens` prompt tokens; see onReservationResult().
 struct ReserveCapacity {
   RequestKey request = 0;
   std::string id;
@@ -125,6 +135,7 @@
   EngineId engine;
 };
 
+/// One token for the client. Indexes begin at 0, or where a resumed stream broke off, and have no gaps.
 struct SendToken {
   RequestKey request = 0;
   std::uint32_t index = 0;
@@ -139,11 +150,14 @@
   std::string reason;
 };
 
+/// Sends a health check; it ends with onProbeEnded().
 struct ProbeEngine {
   EngineId engine;
 };
 
+/// Watches the engine list; updates come by onEngineListUpdate().
 struct Subscribe {};
+/// Fetches the engine list once; it comes by onEngineListUpdate().
 struct Fetch {};
 
 /// What a record tells of.
@@ -188,10 +202,12 @@
   std::string reason;
 };
 
+/// What the host is to carry out; commands own what they carry.
 using Command =
     std::variant<StartPrefill, StartDecode, CancelCall, ReserveCapacity, ReleaseState, FenceAttempt,
                  ResumePoint, SendToken, FinalResponse, ProbeEngine, Subscribe, Fetch, Record>;
 
+/// What a core needs to know beside the settings, for as long as it lives.
 struct Options {
   std::string nodeName = "node";  ///< Unique among routers and starts: request names begin with it.
   Duration responseMargin{0.05};  ///< How long before the client's deadline a running stream is ended.
@@ -208,9 +224,10 @@
   kDuplicateEffect,          ///< An attempt that could have a second effect.
   kRejectedAfterStart,       ///< A rejection though an attempt may have run.
   kAttemptToDrainingEngine,  ///< An attempt to an engine that drains or is off the list.
-  kStateLeaseExpired,        ///< A state was held for longer than the limit.
+  kStateLeaseExpired,        ///< A state was leased for longer than the limit.
   kCount
 };
+/// The name in the log and in the account line.
 const char* nameOf(Violation violation);
 using ViolationCounts = std::array<std::uint64_t, static_cast<std::size_t>(Violation::kCount)>;
 std::uint64_t total(const ViolationCounts& counts);
@@ -240,7 +257,7 @@
   // ---- Clients ----
   void onRequest(Instant now, NewRequest request);
   void onClientDisconnected(Instant now, RequestKey request);
-  /// Whether the client takes nothing for now.
+  /// Whether the client takes nothing for now; no effect where the request has no stream.
   void onClientPaused(Instant now, RequestKey request, bool paused);
 
   // ---- Engines. Calls that are over already are passed over. ----
@@ -263,7 +280,7 @@
 
   // ---- The host ----
   /// New settings in service; see SettingsChanged. Open requests stay open, with their attempts and their
-  /// states. Throws std::invalid_argument where an earlier class or tenant is missing or has another
+  /// states. Throws IncompatibleSettings where an earlier class or tenant is missing or has another
   /// idempotency; then nothing has changed.
   void reconfigure(Instant now, const Settings& settings);
   void drain(Instant now);    ///< From now on new requests are rejected.
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -12,6 +12,7 @@
 
 namespace gannetcourse::router {
 
+/// One request, from its arrival until it is finished.
 struct Request {
   RequestKey key = 0;
   std::string name;      // the core's own, unique among routers
@@ -19,7 +20,7 @@
   std::string policyId;  // its name for the policy, to which each continuation is a new request
   NewRequest arrival;
   std::shared_ptr<const RequestPayload> payload;  // of the current continuation
-  Instant deadline;                               // when its client gives up on the whole answer
+  Instant deadline;                               // when its client gives up on the complete answer
 
   bool isCompleted = false;  // it has its final response, or its client has disconnected
   bool isStreaming = false;  // the attempt in flight has brought its first token
@@ -46,6 +47,7 @@
   bool isFinished() const { return isCompleted && callInFlight == 0; }
 };
 
+/// One call to an engine, from its start until its end or its cancellation.
 struct Call {
   Request* request = nullptr;  // never null; a request outlives its calls
   int attempt = 0;
