--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -53,7 +53,8 @@
                                    src/platform/engines.cpp src/platform/releases.cpp src/platform/front.cpp src/platform/node.cpp
                   LINK gannetcourse_driver gannetcourse_http1 gannetcourse_instance)
 gannetcourse_component(daemon SOURCES src/daemon/log.cpp src/daemon/node_command.cpp src/daemon/signal_watcher.cpp
-                                 src/daemon/platform_command.cpp
+                                 src/daemon/check_command.cpp src/daemon/platform_command.cpp
+                                 src/daemon/configuration_reloader.cpp
                   LINK gannetcourse_node gannetcourse_platform spdlog::spdlog nlohmann_json::nlohmann_json)
 gannetcourse_program(gannetcourse SOURCES src/daemon/main.cpp LINK gannetcourse_daemon CLI11::CLI11)
 target_compile_definitions(gannetcourse PRIVATE GANNETCOURSE_VERSION="${PROJECT_VERSION}")
--- a/src/daemon/commands.h
+++ b/src/daemon/commands.h
@@ -1,20 +1,21 @@
-// `gannetcourse serve`: a node as a process. SIGHUP reloads, SIGTERM and SIGINT drain.
+// The program's commands. Each returns the process's exit code: 0, or 1 after a line on standard error for
+// each fault.
 #pragma once
 
 #include <string>
 
 namespace gannetcourse::daemon {
 
-// Runs until drained. Returns the exit code: 0 after a drain, 1 where it cannot start.
-// Prints one line "listening PORT" to standard output once it serves.
+/// `gannetcourse serve`: runs a node until it has drained. SIGHUP reloads, SIGTERM and SIGINT drain. Prints
+/// one line "listening PORT" to standard output once it serves.
 int runNode(const std::string& settingsPath);
 
-// `gannetcourse platform`: a node on the platform's protocol, all of it told by what NODE_CONFIG names.
-// SIGHUP reads that again, SIGTERM drains. `records`: one log line for each decision. Returns as serve()
-// does.
-int runPlatformNode(bool records);
+/// `gannetcourse platform`: runs a node on the platform's protocol, configured by the file that NODE_CONFIG
+/// names, until it has drained. SIGHUP reads that file again, SIGTERM and SIGINT drain. `recordsEnabled`: one
+/// log line for each decision.
+int runPlatformNode(bool recordsEnabled);
 
-// `gannetcourse check`: prints every fault, or what the node would do. Returns 0 where the file is usable.
+/// `gannetcourse check`: prints every fault of a settings file, or what a node would do with it.
 int checkSettings(const std::string& settingsPath);
 
 }  // namespace gannetcourse::daemon
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -19,23 +19,22 @@
          action == "client_gone" || action == "draining" || action == "reconfigured";
 }
 
+spdlog::sink_ptr openSink(const std::string& file) {
+  try {
+    if (file.empty()) return std::make_shared<spdlog::sinks::stderr_sink_mt>();
+    return std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
+  } catch (const spdlog::spdlog_ex& error) {
+    throw std::runtime_error(error.what());
+  }
+}
+
 }  // namespace
 
 class Log::Impl {
  public:
-  Impl(const std::string& file, std::size_t queue)
-      : pool_(std::make_shared<spdlog::details::thread_pool>(queue, 1)) {
-    spdlog::sink_ptr sink;
-    try {
-      if (file.empty()) {
-        sink = std::make_shared<spdlog::sinks::stderr_sink_mt>();
-      } else {
-        sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(file);
-      }
-    } catch (const spdlog::spdlog_ex& fault) {
-      throw std::runtime_error(fault.what());
-    }
-    logger_ = std::make_shared<spdlog::async_logger>("gannetcourse", sink, pool_,
+  Impl(const std::string& file, std::size_t queueLines)
+      : pool_(std::make_shared<spdlog::details::thread_pool>(queueLines, 1)) {
+    logger_ = std::make_shared<spdlog::async_logger>("gannetcourse", openSink(file), pool_,
                                                      spdlog::async_overflow_policy::overrun_oldest);
     logger_->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z","level":"%l",%v})");
     logger_->set_level(spdlog::level::trace);
@@ -43,7 +42,7 @@
   }
   ~Impl() {
     logger_->flush();
-    pool_.reset();  // writes what is queued and ends its thread, before the logger goes
+    pool_.reset();  // writes what is queued and ends its thread, while the logger still stands
   }
 
   void setLevels(const std::string& level, const std::map<std::string, std::string>& packages) {
@@ -69,18 +68,19 @@
   std::map<std::string, spdlog::level::level_enum> packages_;
 };
 
-Log::Log(const std::string& file, std::size_t queue) : impl_(std::make_unique<Impl>(file, queue)) {}
+Log::Log(const std::string& file, std::size_t queueLines) : impl_(std::make_unique<Impl>(file, queueLines)) {}
+
 Log::~Log() = default;
 
-void Log::close(Duration most) {
+void Log::close(Duration timeout) {
   std::promise<void> written;
   const std::future<void> done = written.get_future();
   std::thread writer([impl = std::move(impl_), &written]() mutable {
     impl.reset();
     written.set_value();
   });
-  // Nothing that a thread still waits on may go before it: the process ends as it stands.
-  if (done.wait_for(most) != std::future_status::ready) std::_Exit(0);
+  // The thread may wait for its disk for ever, and what it uses must outlive it: no destructor may run.
+  if (done.wait_for(timeout) != std::future_status::ready) std::_Exit(0);
   writer.join();
 }
 
@@ -89,13 +89,13 @@
 }
 
 void Log::write(const std::string& package, const std::string& level, const std::string& text) {
-  if (!impl_) return;  // it has ended
+  if (!impl_) return;
   const auto value = spdlog::level::from_str(level);
   if (impl_->isEnabled(package, value)) impl_->write(value, {{"package", package}, {"text", text}});
 }
 
 void Log::write(const router::Record& record) {
-  if (!impl_) return;  // it has ended
+  if (!impl_) return;
   const auto level = record.action == std::string("violation") ? spdlog::level::err
                      : endsRequest(record.action)              ? spdlog::level::info
                                                                : spdlog::level::debug;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -10,25 +10,26 @@
   CLI::App app(
       "gannetcourse: a router for language-model serving with prefill and decode on separate engines");
   app.require_subcommand(1);
-  std::string settings;
+  std::string settingsPath;
   CLI::App* const serve = app.add_subcommand("serve", "run a node; SIGHUP reloads, SIGTERM drains");
-  serve->add_option("-c,--config,settings", settings, "settings file (XML)")->required();
+  serve->add_option("-c,--config,settings", settingsPath, "settings file (XML)")->required();
   CLI::App* const check =
       app.add_subcommand("check", "check a settings file and say what a node would do with it");
-  check->add_option("-c,--config,settings", settings, "settings file (XML)")->required();
-  bool records = false;
+  check->add_option("-c,--config,settings", settingsPath, "settings file (XML)")->required();
+  bool recordsEnabled = false;
   CLI::App* const platform = app.add_subcommand(
       "platform", "run a node on the platform's protocol; NODE_CONFIG names its configuration");
-  platform->add_flag("--records", records, "log each decision");
+  platform->add_flag("--records", recordsEnabled, "log each decision");
   CLI::App* const version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
+
   if (version->parsed()) {
     std::cout << "gannetcourse " GANNETCOURSE_VERSION "\n";
     return 0;
   }
+  if (check->parsed()) return gannetcourse::daemon::checkSettings(settingsPath);
   // From here on a signal waits for the node that it is meant for.
-  if (serve->parsed() || platform->parsed()) gannetcourse::daemon::blockSignals();
-  if (platform->parsed()) return gannetcourse::daemon::runPlatformNode(records);
-  return check->parsed() ? gannetcourse::daemon::checkSettings(settings)
-                         : gannetcourse::daemon::runNode(settings);
+  gannetcourse::daemon::blockSignals();
+  if (platform->parsed()) return gannetcourse::daemon::runPlatformNode(recordsEnabled);
+  return gannetcourse::daemon::runNode(settingsPath);
 }
--- a/src/daemon/node_command.cpp
+++ b/src/daemon/node_command.cpp
@@ -1,11 +1,12 @@
 #include <csignal>
 #include <cstdio>
-#include <functional>
 #include <iostream>
 #include <random>
+#include <string>
 
 #include "config/settings.h"
 #include "daemon/commands.h"
+#include "daemon/fault_report.h"
 #include "daemon/log.h"
 #include "daemon/signal_watcher.h"
 #include "node/node.h"
@@ -13,92 +14,93 @@
 namespace gannetcourse::daemon {
 namespace {
 
-const Duration kLogWithin{1};  // for the last lines of the log at the exit
+const Duration kLogCloseTimeout{1};
 
-std::string startName() {
+std::string randomIncarnation() {
   std::random_device random;
   char text[16];
   std::snprintf(text, sizeof text, "%08x", random());
   return text;
 }
 
-void reload(const std::string& path, node::Node& node, Log& log) {
-  try {
-    const config::NodeSettings fresh = config::loadSettings(path);
-    node.reload(fresh);
-    log.setLevels(fresh.logLevel, fresh.packageLogLevels);
-    log.write("daemon", "info", "settings reloaded");
-  } catch (const std::exception& fault) {
-    log.write("daemon", "error", std::string("reload refused, the old settings stay: ") + fault.what());
-  }
+config::NodeSettings loadSettingsWithSeed(const std::string& path) {
+  config::NodeSettings settings = config::loadSettings(path);
+  if (settings.policy.seed == 0) settings.policy.seed = std::random_device()() | 1U;
+  return settings;
 }
 
-void printFaults(const config::InvalidFile& faults) {
-  for (const config::Fault& fault : faults.faults()) std::cerr << fault.text() << '\n';
-}
+// A node, its log and its signals. Made in this order: signals are blocked before the log's thread starts.
+class NodeProcess {
+ public:
+  explicit NodeProcess(const std::string& path)
+      : path_(path),
+        settings_(loadSettingsWithSeed(path)),
+        signals_(loop_, [this](int number) { onSignal(number); }),
+        log_(settings_.logFile) {
+    log_.setLevels(settings_.logLevel, settings_.packageLogLevels);
+    node_ = std::make_unique<node::Node>(loop_, settings_, randomIncarnation(), nodeHooks());
+  }
 
-}  // namespace
+  // Serves until a signal has drained the node, then closes the log.
+  void run() {
+    std::cout << "listening " << node_->port() << std::endl;
+    log_.write("daemon", "info", "listening on port " + std::to_string(node_->port()));
+    loop_.run();
+    loop_.runOnce(Duration(0));  // what is written goes out
+    log_.write("daemon", "info", "drained");
+    log_.close(kLogCloseTimeout);
+  }
 
-int runNode(const std::string& path) {
-  try {
-    config::NodeSettings settings = config::loadSettings(path);
-    if (settings.policy.seed == 0) settings.policy.seed = std::random_device()() | 1U;
-    net::Loop loop;
-    std::function<void(int)> onSignal;
-    SignalWatcher signals(loop, [&](int number) { onSignal(number); });  // blocked before any thread starts
-    Log log(settings.logFile);
-    log.setLevels(settings.logLevel, settings.packageLogLevels);
+ private:
+  node::Node::Hooks nodeHooks() {
     node::Node::Hooks hooks;
-    hooks.onRecord = [&](const router::Record& record) { log.write(record); };
-    hooks.log = [&](const std::string& package, const std::string& level, const std::string& text) {
-      log.write(package, level, text);
-    };
-    node::Node node(loop, settings, startName(), hooks);
-    bool draining = false;
-    onSignal = [&](int number) {
-      if (number == SIGHUP) return reload(path, node, log);
-      if (std::exchange(draining, true)) return;
-      log.write("daemon", "info", "draining");
-      node.drain([&] { loop.stop(); });
+    hooks.onRecord = [this](const router::Record& record) { log_.write(record); };
+    hooks.log = [this](const std::string& package, const std::string& level, const std::string& text) {
+      log_.write(package, level, text);
     };
-    std::cout << "listening " << node.port() << std::endl;
-    log.write("daemon", "info", "listening on port " + std::to_string(node.port()));
-    loop.run();
-    loop.runOnce(Duration(0));  // what is written goes out
-    log.write("daemon", "info", "drained");
-    log.close(kLogWithin);
-    return 0;
-  } catch (const config::InvalidFile& faults) {
-    printFaults(faults);
-  } catch (const std::exception& fault) {
-    std::cerr << "gannetcourse: " << fault.what() << '\n';
+    return hooks;
+  }
+
+  void onSignal(int number) {
+    if (number == SIGHUP) {
+      reload();
+    } else {
+      drain();
+    }
   }
-  return 1;
-}
 
-int checkSettings(const std::string& path) {
-  try {
-    const config::NodeSettings s = config::loadSettings(path);
-    if (!s.resumeKeyFile.empty()) resume::Sealer::load(s.resumeKeyFile);
-    std::cout << path << ": usable; node " << s.name << " in zone " << s.zone << ", " << s.classes.size()
-              << " classes, " << s.tenants.size() << " tenants, engines from "
-              << (s.registryAddress.empty() ? "file " + s.engineListFile : "registry " + s.registryAddress)
-              << '\n';
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
-      const Duration within = s.classes[i].firstTokenTimeout;
-      std::cout << "class " << s.classes[i].name << ": first token aimed at within "
-                << config::formatDuration(s.policy.classes[i].ttftObjective) << ", given up "
-                << (within.count() > 0 ? "after " + config::formatDuration(within) : "at the call's deadline")
-                << "; at most " << s.policy.maxAttempts << " attempts, never two at once; answered "
-                << config::formatDuration(s.responseMargin) << " before the client's time is up\n";
+  void reload() {
+    try {
+      const config::NodeSettings fresh = config::loadSettings(path_);
+      node_->reload(fresh);
+      log_.setLevels(fresh.logLevel, fresh.packageLogLevels);
+      log_.write("daemon", "info", "settings reloaded");
+    } catch (const std::exception& error) {
+      log_.write("daemon", "error", std::string("reload refused, the old settings stay: ") + error.what());
     }
-    return 0;
-  } catch (const config::InvalidFile& faults) {
-    printFaults(faults);
-  } catch (const std::exception& fault) {
-    std::cerr << "gannetcourse: " << fault.what() << '\n';
   }
-  return 1;
+
+  // The first signal to drain counts. The loop stops once the node has nothing left to answer or release.
+  void drain() {
+    if (draining_) return;
+    draining_ = true;
+    log_.write("daemon", "info", "draining");
+    node_->drain([this] { loop_.stop(); });
+  }
+
+  std::string path_;
+  config::NodeSettings settings_;  // at the start; the node keeps those in service
+  net::Loop loop_;
+  SignalWatcher signals_;
+  Log log_;
+  std::unique_ptr<node::Node> node_;
+  bool draining_ = false;
+};
+
+}  // namespace
+
+int runNode(const std::string& settingsPath) {
+  return runReportingFaults([&settingsPath] { NodeProcess(settingsPath).run(); });
 }
 
 }  // namespace gannetcourse::daemon
--- a/src/daemon/signal_watcher.h
+++ b/src/daemon/signal_watcher.h
@@ -7,15 +7,19 @@
 
 namespace gannetcourse::daemon {
 
-// Blocks these signals: they wait until Signals reads them. To be called as the first thing of a process, so
-// that none ends it while it starts.
+/// Blocks these signals: they wait until a SignalWatcher reads them. To be called first in a process, so that
+/// no signal ends it while it starts.
 void blockSignals();
 
-// To be made before any other thread starts: threads inherit that these signals are blocked.
+/// Calls `onSignal` with the number of each such signal, from the loop. To be made before any other thread
+/// starts: threads inherit that the signals are blocked.
 class SignalWatcher final : private net::Watcher {
  public:
-  SignalWatcher(net::Loop& loop, std::function<void(int)> tell);  // throws std::system_error
+  /// Throws std::system_error where no descriptor can be had.
+  SignalWatcher(net::Loop& loop, std::function<void(int)> onSignal);
   ~SignalWatcher() override;
+  SignalWatcher(const SignalWatcher&) = delete;
+  SignalWatcher& operator=(const SignalWatcher&) = delete;
 
  private:
   void onReady(const net::Ready& ready) override;
