--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,5 +1,4 @@
-// Settings: each fault has file, line, what is wrong and what to do; what would break a rule is refused by
-// its name.
+// Settings: each fault has file, line, reason and remedy; what would break a rule names that rule.
 #include <gtest/gtest.h>
 
 #include "config/reload.h"
@@ -9,7 +8,8 @@
 namespace gannetcourse::config {
 namespace {
 
-struct Parts {
+// The parts of a settings file; a test replaces some.
+struct SettingsParts {
   std::string node = "<node name='n1' zone='north' nodes='3'/>";
   std::string listen = "<listen grpc='127.0.0.1:0'/>";
   std::string zones = "<zones><zone name='north'/><zone name='south'/></zones>";
@@ -23,17 +23,17 @@
   }
 };
 
-std::vector<Fault> faultsOf(const std::string& text) {
+std::vector<Fault> parseFaults(const std::string& text) {
   try {
     parseSettings(text, "node.xml");
-  } catch (const InvalidFile& faults) {
-    return faults.faults();
+  } catch (const InvalidFile& invalid) {
+    return invalid.faults();
   }
   return {};
 }
 
 TEST(Settings, AreReadWithTheirUnits) {
-  Parts parts;
+  SettingsParts parts;
   parts.rest =
       "<limits max-attempts='6' pin-limit='500ms' drain-grace='1s' worth-by='work'/>"
       "<tenants over-share-worth='0.1'><tenant name='a' share='0.6' quota-per-second='12'/></tenants>"
@@ -53,82 +53,88 @@
   EXPECT_DOUBLE_EQ(s.connectTimeout.count(), 0.1);
 }
 
-struct Bad {
+struct InvalidCase {
   const char* name;
-  void (*spoil)(Parts&);
+  void (*spoil)(SettingsParts&);
   int line;
-  const char* says;
+  const char* fragment;  // of the fault's text
 };
 
-class BadSettings : public ::testing::TestWithParam<Bad> {};
+class InvalidSettings : public ::testing::TestWithParam<InvalidCase> {};
 
-TEST_P(BadSettings, AreToldWithLineAndMend) {
-  Parts parts;
+TEST_P(InvalidSettings, AreReportedWithLineAndRemedy) {
+  SettingsParts parts;
   GetParam().spoil(parts);
-  const auto faults = faultsOf(parts.text());
+  const auto faults = parseFaults(parts.text());
   ASSERT_FALSE(faults.empty());
   const Fault& fault = faults.front();
   EXPECT_EQ(fault.file, "node.xml");
   EXPECT_EQ(fault.line, GetParam().line) << fault.text();
-  EXPECT_NE(fault.text().find(GetParam().says), std::string::npos) << fault.text();
+  EXPECT_NE(fault.text().find(GetParam().fragment), std::string::npos) << fault.text();
   EXPECT_FALSE(fault.remedy.empty()) << fault.text();
   EXPECT_EQ(fault.text().find('\n'), std::string::npos) << "one line";
 }
 
-const Bad kBad[] = {
-    {"no_unit", [](Parts& p) { p.classes = "<classes><class name='q' aim='15'/></classes>"; }, 5, "250ms"},
-    {"unknown_attribute", [](Parts& p) { p.listen = "<listen grpc='127.0.0.1:0' port='1'/>"; }, 3,
+const InvalidCase kInvalidCases[] = {
+    {"no_unit", [](SettingsParts& p) { p.classes = "<classes><class name='q' aim='15'/></classes>"; }, 5,
+     "250ms"},
+    {"unknown_attribute", [](SettingsParts& p) { p.listen = "<listen grpc='127.0.0.1:0' port='1'/>"; }, 3,
      "remove it"},
-    {"unknown_element", [](Parts& p) { p.rest = "<limit/>"; }, 7, "limit"},
-    {"missing_fleet", [](Parts& p) { p.fleet = ""; }, 1, "add the missing element"},
-    {"two_sources", [](Parts& p) { p.fleet = "<fleet registry='127.0.0.1:1' file='x'/>"; }, 6, "one source"},
-    {"not_xml", [](Parts& p) { p.zones = "<zones><zone name='north'></zones>"; }, 4, "XML"},
-    {"foreign_zone", [](Parts& p) { p.node = "<node name='n' zone='east'/>"; }, 2, "not one of <zones>"},
+    {"unknown_element", [](SettingsParts& p) { p.rest = "<limit/>"; }, 7, "limit"},
+    {"missing_fleet", [](SettingsParts& p) { p.fleet = ""; }, 1, "add the missing element"},
+    {"two_sources", [](SettingsParts& p) { p.fleet = "<fleet registry='127.0.0.1:1' file='x'/>"; }, 6,
+     "one source"},
+    {"not_xml", [](SettingsParts& p) { p.zones = "<zones><zone name='north'></zones>"; }, 4, "XML"},
+    {"foreign_zone", [](SettingsParts& p) { p.node = "<node name='n' zone='east'/>"; }, 2,
+     "not one of <zones>"},
     {"class_twice",
-     [](Parts& p) {
+     [](SettingsParts& p) {
        p.classes = "<classes><class name='q' aim='1s'/>\n<class name='q' aim='1s'/></classes>";
      },
      6, "twice"},
     {"keyed_without_window",
-     [](Parts& p) { p.classes = "<classes><class name='q' aim='1s' effect='keyed'/></classes>"; }, 5,
+     [](SettingsParts& p) { p.classes = "<classes><class name='q' aim='1s' effect='keyed'/></classes>"; }, 5,
      "rule 2"},
     {"no_time_to_answer",
-     [](Parts& p) {
+     [](SettingsParts& p) {
        p.classes = "<classes><class name='q' aim='10ms' first-token-within='90ms'/></classes>";
      },
      5, "rule 1"},
-    {"margin_of_nothing", [](Parts& p) { p.rest = "<limits answer-margin='1ms'/>"; }, 7, "rule 1"},
+    {"margin_of_nothing", [](SettingsParts& p) { p.rest = "<limits answer-margin='1ms'/>"; }, 7, "rule 1"},
     {"connects_past_the_grace",
-     [](Parts& p) { p.rest = "<limits drain-grace='100ms'/><engines connect-timeout='250ms'/>"; }, 7,
+     [](SettingsParts& p) { p.rest = "<limits drain-grace='100ms'/><engines connect-timeout='250ms'/>"; }, 7,
      "rule 3"},
-    {"cold_without_window", [](Parts& p) { p.rest = "<cold-start window='20s' warm-after='10s'/>"; }, 7,
+    {"cold_without_window", [](SettingsParts& p) { p.rest = "<cold-start window='20s' warm-after='10s'/>"; },
+     7, "rule 4"},
+    {"cold_without_capacity", [](SettingsParts& p) { p.rest = "<cold-start start-capacity='0'/>"; }, 7,
      "rule 4"},
-    {"cold_without_capacity", [](Parts& p) { p.rest = "<cold-start start-capacity='0'/>"; }, 7, "rule 4"},
-    {"pins_too_short", [](Parts& p) { p.rest = "<limits pin-limit='50ms'/>"; }, 7, "rule 5"},
-    {"one_attempt", [](Parts& p) { p.rest = "<limits max-attempts='1'/>"; }, 7, "a read and a write"},
+    {"pins_too_short", [](SettingsParts& p) { p.rest = "<limits pin-limit='50ms'/>"; }, 7, "rule 5"},
+    {"one_attempt", [](SettingsParts& p) { p.rest = "<limits max-attempts='1'/>"; }, 7, "a read and a write"},
     {"shares_over_one",
-     [](Parts& p) {
+     [](SettingsParts& p) {
        p.rest = "<tenants><tenant name='a' share='0.7'/><tenant name='b' share='0.7'/></tenants>";
      },
      7, "more than 1"},
-    {"address_without_port", [](Parts& p) { p.listen = "<listen grpc='localhost'/>"; }, 3, "127.0.0.1:8080"},
-    {"port_too_large", [](Parts& p) { p.listen = "<listen grpc='127.0.0.1:99999'/>"; }, 3, "a.b.c.d:port"},
+    {"address_without_port", [](SettingsParts& p) { p.listen = "<listen grpc='localhost'/>"; }, 3,
+     "127.0.0.1:8080"},
+    {"port_too_large", [](SettingsParts& p) { p.listen = "<listen grpc='127.0.0.1:99999'/>"; }, 3,
+     "a.b.c.d:port"},
 };
 
-INSTANTIATE_TEST_SUITE_P(Corpus, BadSettings, ::testing::ValuesIn(kBad),
+INSTANTIATE_TEST_SUITE_P(Corpus, InvalidSettings, ::testing::ValuesIn(kInvalidCases),
                          [](const auto& info) { return info.param.name; });
 
-TEST(Settings, AMissingFileIsToldByName) {
+TEST(Settings, AMissingFileIsReportedByName) {
   try {
     loadSettings("/nowhere/node.xml");
     FAIL() << "a file that is not there was read";
-  } catch (const InvalidFile& faults) {
-    EXPECT_NE(std::string(faults.what()).find("/nowhere/node.xml"), std::string::npos);
+  } catch (const InvalidFile& invalid) {
+    EXPECT_NE(std::string(invalid.what()).find("/nowhere/node.xml"), std::string::npos);
   }
 }
 
-TEST(Settings, DifferencesAreTold) {
-  Parts before, after;
+TEST(Settings, DifferencesAreDescribed) {
+  SettingsParts before, after;
   after.classes =
       "<classes><class name='query' aim='1s' token-aim='60ms' first-token-within='6s' worth='3'/></classes>";
   after.rest = "<log level='debug'/>";
@@ -142,22 +148,22 @@
   EXPECT_EQ(firstRestartOnlyDifference(a, parseSettings(after.text(), "b")), "limits answer-margin");
 }
 
-// Classes keep their places for as long as the node runs; a class that changes gets a new one, and its old
-// one back when the old file comes back.
-TEST(Settings, PlacesOfClassesAndTenantsOutliveReloads) {
-  Parts one, two;
+// Classes keep their indices for as long as the node runs; a class that changes gets a new one, and its
+// earlier one when the earlier file is loaded again.
+TEST(Settings, IndicesOfClassesAndTenantsOutliveReloads) {
+  SettingsParts one, two;
   two.classes =
       "<classes><class name='order' aim='2s' effect='unsafe'/>"
       "<class name='query' aim='3s' token-aim='60ms' first-token-within='6s'/></classes>";
   const NodeSettings a = parseSettings(one.text(), "a"), b = parseSettings(two.text(), "b");
-  const NodeSettings moved = mergeForReload(a, b);
-  ASSERT_EQ(moved.classes.size(), a.classes.size() + 2);
-  EXPECT_EQ(findClassInService(moved, "order"), a.classes.size());
-  EXPECT_EQ(findClassInService(moved, "query"), a.classes.size() + 1);
-  EXPECT_FALSE(moved.policy.classes[0].inService);
-  EXPECT_EQ(moved.policy.classes[0].ttftObjective, a.policy.classes[0].ttftObjective);
-  const NodeSettings back = mergeForReload(moved, a);
-  EXPECT_EQ(back.classes.size(), moved.classes.size()) << "the way back takes no new place";
+  const NodeSettings merged = mergeForReload(a, b);
+  ASSERT_EQ(merged.classes.size(), a.classes.size() + 2);
+  EXPECT_EQ(findClassInService(merged, "order"), a.classes.size());
+  EXPECT_EQ(findClassInService(merged, "query"), a.classes.size() + 1);
+  EXPECT_FALSE(merged.policy.classes[0].inService);
+  EXPECT_EQ(merged.policy.classes[0].ttftObjective, a.policy.classes[0].ttftObjective);
+  const NodeSettings back = mergeForReload(merged, a);
+  EXPECT_EQ(back.classes.size(), merged.classes.size()) << "the way back takes no new index";
   EXPECT_EQ(findClassInService(back, "query"), 0u);
   EXPECT_FALSE(findClassInService(back, "order"));
   EXPECT_EQ(firstRestartOnlyDifference(a, b), "") << "classes change in service";
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -7,6 +7,7 @@
 namespace gannetcourse::node {
 namespace {
 
+// A registry that begins each watch with `first`.
 struct ScriptedRegistry {
   explicit ScriptedRegistry(net::Loop& loop, std::uint16_t port = 0) : server(loop, {"127.0.0.1", port}) {
     server.handle("/gannetcourse.v1.Registry/Watch", [this](const ServerCall& call, std::string_view) {
@@ -26,7 +27,7 @@
   }
   grpc::Server server;
   v1::EngineList first;
-  bool sendEmpty = false;
+  bool sendEmpty = false;  // also where `first` has no entries
   int watches = 0;
   ServerCall watch;
 };
@@ -34,8 +35,8 @@
 TEST_F(NodeTest, ARegistryThatIsDownAtStartIsReachedLater) {
   std::uint16_t port = 0;
   {
-    ScriptedRegistry reserve(loop);
-    port = reserve.server.port();
+    ScriptedRegistry unused(loop);
+    port = unused.server.port();
   }
   start("<fleet registry='127.0.0.1:" + std::to_string(port) + "'/>");
   runFor();
@@ -88,22 +89,22 @@
   registry.first.set_full(true);
   ScriptedRegistry::add(registry.first, prefillEngine, v1::EngineEntry::PREFILL);
   ScriptedRegistry::add(registry.first, decodeEngine, v1::EngineEntry::DECODE);
-  const std::string saved = (folder / "saved.xml").string();
-  const std::string fleet =
-      "<fleet registry='127.0.0.1:" + std::to_string(registry.server.port()) + "' saved='" + saved + "'/>";
-  start(fleet);
+  const std::string cacheFile = (folder / "saved.xml").string();
+  const std::string source = "<fleet registry='127.0.0.1:" + std::to_string(registry.server.port()) +
+                             "' saved='" + cacheFile + "'/>";
+  start(source);
   ASSERT_TRUE(waitUntil([&] { return node->engineCount() == 2; }));
   registry.server.abortAll();
   runFor(0.1);
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the last list is worked on";
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the last list stays in service";
   EXPECT_TRUE(waitUntil([&] { return registry.watches == 2; }));
-  // A start while the registry is away works on the saved list.
+  // A start while the registry is down uses the cached list.
   channel.reset();
   node.reset();
   registry.server.refuse(true);
-  start(fleet);
+  start(source);
   EXPECT_EQ(node->engineCount(), 2u);
   const auto again = generate();
   ASSERT_TRUE(waitForEnd(again));
--- a/tests/node_engine_failure_test.cpp
+++ b/tests/node_engine_failure_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_TRUE(response->endedWith(grpc::Code::kDeadlineExceeded));
   EXPECT_GE((net::monotonicNow() - from).count(), 1.0) << "not before its time";
   EXPECT_EQ(response->tokens.size(), 1u);
-  EXPECT_TRUE(waitUntil([&] { return decodeEngine.cancelled == 1; })) << "the engine's call is called off";
+  EXPECT_TRUE(waitUntil([&] { return decodeEngine.cancelled == 1; })) << "the engine's call is cancelled";
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
@@ -26,31 +26,31 @@
   int errors = 0;
   prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) {
     if (errors++ == 0) return call->finish({grpc::Code::kInternal, "first"});
-    // The second read stays out.
+    // The second prefill stays open.
   };
   const auto response = generate();
   ASSERT_TRUE(waitUntil([&] { return prefillEngine.prefills == 2; }));
   response->call->cancel();
   EXPECT_TRUE(waitUntil([&] { return prefillEngine.cancelled == 1 && prefillEngine.releases == 1; }));
   runFor();
-  EXPECT_EQ(prefillEngine.prefills, 2) << "nothing is sent for it after";
+  EXPECT_EQ(prefillEngine.prefills, 2) << "no attempt after the cancellation";
   EXPECT_EQ(response->ends, 1);
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-// No writer takes the state, and its reader does not take the release at once.
+// No decode engine takes the state, and its prefill engine does not take the release at once.
 TEST_F(NodeTest, AReleaseThatItsEngineDoesNotTakeIsRetried) {
   startWithTwoEngines();
   decodeEngine.onDecode = [](const ServerCall& call, const v1::DecodeRequest&) {
     call->finish({grpc::Code::kResourceExhausted, "full"});
   };
-  constexpr int kFail = 2;
-  prefillEngine.releasesToFail = kFail;
+  constexpr int kFailures = 2;
+  prefillEngine.releasesToFail = kFailures;
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(waitUntil([&] { return prefillEngine.releases == prefillEngine.prefills + kFail; }));
+  EXPECT_TRUE(waitUntil([&] { return prefillEngine.releases == prefillEngine.prefills + kFailures; }));
   runFor();
-  EXPECT_EQ(prefillEngine.releases, prefillEngine.prefills + kFail);
+  EXPECT_EQ(prefillEngine.releases, prefillEngine.prefills + kFailures);
 }
 
 TEST_F(NodeTest, AReplyAfterItsCallWasCancelledIsIgnored) {
@@ -75,7 +75,7 @@
   };
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "a read has no effect: it is tried again";
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "a prefill has no effect: it is retried";
   EXPECT_EQ(prefillEngine.prefills, 2);
   EXPECT_EQ(response->tokens.size(), 2u);
 }
@@ -146,27 +146,27 @@
 
 TEST_F(NodeTest, LongStreamsMigrateFromAnEngineThatSendsGoAway) {
   ScriptedEngine other(loop, 3);
-  ScriptedEngine* first = nullptr;
-  const auto write = [&](ScriptedEngine& engine) {
+  ScriptedEngine* firstEngine = nullptr;
+  const auto decodeAt = [&](ScriptedEngine& engine) {
     return [&](const ServerCall& call, const v1::DecodeRequest& request) {
       ScriptedEngine::sendToken(call, request.first_index(), request.first_index() == 0 ? "one " : "two");
-      if (first != nullptr) return call->finish({});
-      first = &engine;  // and goes on for long
+      if (firstEngine != nullptr) return call->finish({});
+      firstEngine = &engine;  // its stream stays open
     };
   };
-  decodeEngine.onDecode = write(decodeEngine);
-  other.onDecode = write(other);
+  decodeEngine.onDecode = decodeAt(decodeEngine);
+  other.onDecode = decodeAt(other);
   start(fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}, {&other, "decode"}}));
   v1::GenerateRequest request = query();
   request.set_max_output_tokens(400);
   const auto response = generate(request, Duration(60));
   ASSERT_TRUE(waitUntil([&] { return response->tokens.size() == 1; }));
-  first->server.drain();
+  firstEngine->server.drain();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
   EXPECT_EQ(response->tokens, (std::vector<std::string>{"one ", "two"}));
-  EXPECT_EQ(first->cancelled, 1) << "taken away, not broken";
-  EXPECT_EQ(first->decodes, 1);
+  EXPECT_EQ(firstEngine->cancelled, 1) << "cancelled, not broken";
+  EXPECT_EQ(firstEngine->decodes, 1);
 }
 
 }  // namespace
--- a/tests/node_request_test.cpp
+++ b/tests/node_request_test.cpp
@@ -27,7 +27,7 @@
   startWithTwoEngines();
   struct Case {
     void (*spoil)(v1::GenerateRequest&);
-    const char* names;
+    const char* field;
   };
   const Case cases[] = {
       {[](v1::GenerateRequest& r) { r.set_request_class("nobody"); }, "request_class"},
@@ -37,25 +37,25 @@
       {[](v1::GenerateRequest& r) { r.set_max_output_tokens(100000); }, "max_output_tokens"},
       {[](v1::GenerateRequest& r) { r.set_prefix_tokens(101); }, "prefix_tokens"},
   };
-  for (const Case& c : cases) {
+  for (const Case& invalid : cases) {
     v1::GenerateRequest request = query();
-    c.spoil(request);
+    invalid.spoil(request);
     const auto response = generate(request);
     ASSERT_TRUE(waitForEnd(response));
-    EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument)) << c.names;
-    EXPECT_EQ(response->end->status.message.rfind(c.names, 0), 0u) << response->end->status.message;
+    EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument)) << invalid.field;
+    EXPECT_EQ(response->end->status.message.rfind(invalid.field, 0), 0u) << response->end->status.message;
   }
-  const auto unbounded = std::make_shared<Response>();
-  unbounded->call = channel->start("/gannetcourse.v1.Chat/Generate", query().SerializeAsString());
-  unbounded->call->onEnd = [unbounded](const grpc::CallEnd& end) { unbounded->end = end; };
-  ASSERT_TRUE(waitForEnd(unbounded));
-  EXPECT_TRUE(unbounded->endedWith(grpc::Code::kInvalidArgument));
-  EXPECT_NE(unbounded->end->status.message.find("grpc-timeout"), std::string::npos);
-  const auto past = generate(query(), Duration(0.05));
-  ASSERT_TRUE(waitForEnd(past));
-  EXPECT_TRUE(past->endedWith(grpc::Code::kDeadlineExceeded));
+  const auto withoutDeadline = std::make_shared<Response>();
+  withoutDeadline->call = channel->start("/gannetcourse.v1.Chat/Generate", query().SerializeAsString());
+  withoutDeadline->call->onEnd = [withoutDeadline](const grpc::CallEnd& end) { withoutDeadline->end = end; };
+  ASSERT_TRUE(waitForEnd(withoutDeadline));
+  EXPECT_TRUE(withoutDeadline->endedWith(grpc::Code::kInvalidArgument));
+  EXPECT_NE(withoutDeadline->end->status.message.find("grpc-timeout"), std::string::npos);
+  const auto late = generate(query(), Duration(0.05));
+  ASSERT_TRUE(waitForEnd(late));
+  EXPECT_TRUE(late->endedWith(grpc::Code::kDeadlineExceeded));
   EXPECT_EQ(prefillEngine.prefills, 0);
-  EXPECT_EQ(node->core().counters().accepted, 0u) << "what is wrong is not taken";
+  EXPECT_EQ(node->core().counters().accepted, 0u) << "invalid requests are not accepted";
 }
 
 TEST_F(NodeTest, ARejectionCarriesRetryAfter) {
@@ -71,28 +71,28 @@
 
 TEST_F(NodeTest, ADrainFinishesAcceptedRequestsAndRejectsNewOnes) {
   startWithTwoEngines();
-  ServerCall openCall;
+  ServerCall openDecode;
   decodeEngine.onDecode = [&](const ServerCall& call, const v1::DecodeRequest&) {
     ScriptedEngine::sendToken(call, 0, "one ");
-    openCall = call;
+    openDecode = call;
   };
   const auto streaming = generate();
   ASSERT_TRUE(waitUntil([&] { return streaming->tokens.size() == 1; }));
-  ServerCall reading;
-  prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) { reading = call; };
-  const auto queued = generate();
-  ASSERT_TRUE(waitUntil([&] { return reading != nullptr; }));
+  ServerCall openPrefill;
+  prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) { openPrefill = call; };
+  const auto prefilling = generate();
+  ASSERT_TRUE(waitUntil([&] { return openPrefill != nullptr; }));
   bool drained = false;
   node->drain([&] { drained = true; });
   const auto late = generate();
   runFor();
-  EXPECT_FALSE(drained) << "two requests are still owed an answer";
-  openCall->finish({});
+  EXPECT_FALSE(drained) << "two requests still wait for their response";
+  openDecode->finish({});
   decodeEngine.onDecode = nullptr;
-  ScriptedEngine::replyToPrefill(reading);
+  ScriptedEngine::replyToPrefill(openPrefill);
   ASSERT_TRUE(waitUntil([&] { return drained; }));
   EXPECT_TRUE(streaming->endedWith(grpc::Code::kOk));
-  EXPECT_TRUE(queued->endedWith(grpc::Code::kOk));
+  EXPECT_TRUE(prefilling->endedWith(grpc::Code::kOk));
   ASSERT_TRUE(waitForEnd(late));
   EXPECT_FALSE(late->endedWith(grpc::Code::kOk));
 }
@@ -101,18 +101,18 @@
   startWithTwoEngines();
   using ::grpc::health::v1::HealthCheckRequest;
   using ::grpc::health::v1::HealthCheckResponse;
-  std::vector<int> told;
-  bool over = false;
+  std::vector<int> statuses;
+  bool ended = false;
   const auto watch = channel->start("/grpc.health.v1.Health/Watch", HealthCheckRequest().SerializeAsString());
   watch->onMessage = [&](std::string_view bytes) {
-    told.push_back(parsed<HealthCheckResponse>(bytes).status());
+    statuses.push_back(parsed<HealthCheckResponse>(bytes).status());
   };
-  watch->onEnd = [&](const grpc::CallEnd&) { over = true; };
-  ASSERT_TRUE(waitUntil([&] { return !told.empty(); }));
+  watch->onEnd = [&](const grpc::CallEnd&) { ended = true; };
+  ASSERT_TRUE(waitUntil([&] { return !statuses.empty(); }));
   bool drained = false;
   node->drain([&] { drained = true; });
-  ASSERT_TRUE(waitUntil([&] { return over && drained; }));
-  EXPECT_EQ(told, (std::vector<int>{HealthCheckResponse::SERVING, HealthCheckResponse::NOT_SERVING}));
+  ASSERT_TRUE(waitUntil([&] { return ended && drained; }));
+  EXPECT_EQ(statuses, (std::vector<int>{HealthCheckResponse::SERVING, HealthCheckResponse::NOT_SERVING}));
 }
 
 TEST_F(NodeTest, TenThousandConnectionsOpenedAndClosed) {
@@ -128,7 +128,7 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     ASSERT_GE(fd, 0);
     connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
-    // Half of them leave without a word, half after some bytes that are no HTTP/2.
+    // Half of them close at once, half after bytes that are not HTTP/2; a third by a reset.
     if (i % 2 == 0) [[maybe_unused]]
       const auto sent = send(fd, "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL);
     const linger now{1, i % 3 == 0 ? 0 : 1};
--- a/tests/node_resume_test.cpp
+++ b/tests/node_resume_test.cpp
@@ -8,29 +8,29 @@
 
 TEST_F(NodeTest, AResponseIsResumedAtAnotherNodeAfterItsNodeDied) {
   std::ofstream(folder / "keys") << "autumn " << std::string(64, 'a') << "\n";
-  const std::string fleet = fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}});
+  const std::string source = fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}});
   const std::string keys = "<resume key-file='" + (folder / "keys").string() + "'/>";
-  std::string readAgain;
-  std::uint32_t from = 0, attempt = 0;
+  std::string continuedPrompt;
+  std::uint32_t firstIndex = 0, attempt = 0;
   prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest& request) {
-    readAgain = request.prompt();
+    continuedPrompt = request.prompt();
     ScriptedEngine::replyToPrefill(call);
   };
   decodeEngine.onDecode = [&](const ServerCall& call, const v1::DecodeRequest& request) {
-    from = request.first_index();
+    firstIndex = request.first_index();
     attempt = request.name().attempt();
-    ScriptedEngine::sendToken(call, from, from == 0 ? "a " : "c ");
-    ScriptedEngine::sendToken(call, from + 1, from == 0 ? "b " : "d");
-    if (from > 0) call->finish({});
+    ScriptedEngine::sendToken(call, firstIndex, firstIndex == 0 ? "a " : "c ");
+    ScriptedEngine::sendToken(call, firstIndex + 1, firstIndex == 0 ? "b " : "d");
+    if (firstIndex > 0) call->finish({});
   };
-  start(fleet, keys);
+  start(source, keys);
   const auto first = generate();
   ASSERT_TRUE(waitUntil([&] { return first->tokens.size() == 2; }));
   ASSERT_FALSE(first->resumeToken.empty());
-  EXPECT_EQ(first->resumeToken.find("n1-t"), std::string::npos) << "it tells the client nothing";
-  node.reset();  // it dies: its connections end
+  EXPECT_EQ(first->resumeToken.find("n1-t"), std::string::npos) << "the token shows the client nothing";
+  node.reset();  // as if it crashed: its connections end
   ASSERT_TRUE(waitUntil([&] { return first->end && decodeEngine.cancelled == 1; }));
-  start(fleet, keys, "later");
+  start(source, keys, "later");
   v1::GenerateRequest rest = query();
   rest.set_resume(first->resumeToken);
   rest.set_received_tokens(2);
@@ -39,8 +39,8 @@
   ASSERT_TRUE(waitForEnd(second));
   EXPECT_TRUE(second->endedWith(grpc::Code::kOk)) << second->end->status.message;
   EXPECT_EQ(second->tokens, (std::vector<std::string>{"c ", "d"}));
-  EXPECT_EQ(readAgain, "why?a b ");
-  EXPECT_EQ(from, 2u);
+  EXPECT_EQ(continuedPrompt, "why?a b ");
+  EXPECT_EQ(firstIndex, 2u);
   EXPECT_EQ(attempt, 3u) << "engines know it as the newest of the same request";
   EXPECT_GE(decodeEngine.fences, 1) << "the dead node's attempt is known to have ended first";
 }
@@ -52,30 +52,31 @@
   const auto first = generate();
   ASSERT_TRUE(waitForEnd(first));
   ASSERT_FALSE(first->resumeToken.empty());
-  v1::GenerateRequest good = query();
-  good.set_resume(first->resumeToken);
-  good.set_received_tokens(1);
-  v1::GenerateRequest changed = good, other = good, bare = good, many = good;
+  v1::GenerateRequest valid = query();
+  valid.set_resume(first->resumeToken);
+  valid.set_received_tokens(1);
+  v1::GenerateRequest changed = valid, ofAnotherRequest = valid, withoutCount = valid, withTooMany = valid;
   std::string damaged = first->resumeToken;
   damaged.back() = static_cast<char>(damaged.back() ^ 1);
   changed.set_resume(damaged);
-  other.set_prompt("why not?");
-  bare.clear_received_tokens();
-  many.set_received_tokens(4000000000U);
-  const std::pair<v1::GenerateRequest, std::string> cases[] = {{changed, "resume: is damaged"},
-                                                               {other, "resume: belongs to another"},
-                                                               {bare, "received_tokens: is missing"},
-                                                               {many, "received_tokens: are more"}};
-  for (const auto& [request, why] : cases) {
+  ofAnotherRequest.set_prompt("why not?");
+  withoutCount.clear_received_tokens();
+  withTooMany.set_received_tokens(4000000000U);
+  const std::pair<v1::GenerateRequest, std::string> cases[] = {
+      {changed, "resume: is damaged"},
+      {ofAnotherRequest, "resume: belongs to another"},
+      {withoutCount, "received_tokens: is missing"},
+      {withTooMany, "received_tokens: are more"}};
+  for (const auto& [request, reason] : cases) {
     const auto response = generate(request);
     ASSERT_TRUE(waitForEnd(response));
     EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument));
-    EXPECT_EQ(response->end->status.message.find(why), 0u) << response->end->status.message;
+    EXPECT_EQ(response->end->status.message.find(reason), 0u) << response->end->status.message;
   }
-  // The key is replaced in service: the old one still opens until it is taken out.
+  // A reload puts another key in service, without the earlier one.
   std::ofstream(folder / "keys") << "winter " << std::string(64, 'b') << "\n";
   node->reload(node->settings());
-  const auto late = generate(good);
+  const auto late = generate(valid);
   ASSERT_TRUE(waitForEnd(late));
   EXPECT_TRUE(late->endedWith(grpc::Code::kInvalidArgument));
 }
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -1,4 +1,4 @@
-// Resume tokens' seal: opened by who has the key, and by nobody else.
+// Sealed resume tokens open under their key and under no other.
 #include "resume/seal.h"
 
 #include <gtest/gtest.h>
@@ -8,10 +8,11 @@
 namespace gannetcourse::resume {
 namespace {
 
-const std::string kOld = "old " + std::string(64, '1') + "\n", kNew = "new " + std::string(64, '2') + "\n";
+const std::string kOldKey = "old " + std::string(64, '1') + "\n",
+                  kNewKey = "new " + std::string(64, '2') + "\n";
 
 TEST(SealTest, OpensWhatItSealed) {
-  const Sealer sealer = Sealer::parse(kOld, "keys");
+  const Sealer sealer = Sealer::parse(kOldKey, "keys");
   for (const std::string& text : {std::string(), std::string("request"), std::string(5000, 'x')}) {
     const std::string sealed = sealer.seal(text);
     EXPECT_EQ(sealer.open(sealed), text);
@@ -20,15 +21,15 @@
 }
 
 TEST(SealTest, AKeyChangesInService) {
-  const Sealer before = Sealer::parse(kOld, "keys"), during = Sealer::parse(kNew + kOld, "keys"),
-               after = Sealer::parse(kNew, "keys");
+  const Sealer before = Sealer::parse(kOldKey, "keys"), during = Sealer::parse(kNewKey + kOldKey, "keys"),
+               after = Sealer::parse(kNewKey, "keys");
   EXPECT_EQ(during.open(before.seal("a")), "a");
   EXPECT_EQ(after.open(during.seal("a")), "a") << "the first key seals";
   EXPECT_EQ(after.open(before.seal("a")), std::nullopt);
 }
 
-TEST(SealTest, EveryChangedByteIsFound) {
-  const Sealer sealer = Sealer::parse(kOld, "keys");
+TEST(SealTest, EveryChangedByteIsDetected) {
+  const Sealer sealer = Sealer::parse(kOldKey, "keys");
   const std::string sealed = sealer.seal("request 7");
   for (std::size_t i = 0; i < sealed.size(); ++i) {
     std::string changed = sealed;
@@ -39,19 +40,19 @@
   EXPECT_EQ(sealer.open(sealed + "x"), std::nullopt);
 }
 
-TEST(SealTest, AFaultyFileIsNamedByLine) {
+TEST(SealTest, AnInvalidFileIsReportedByLine) {
   const std::pair<std::string, std::string> cases[] = {
       {"# nothing\n", "keys:1: the file holds no key"},
-      {kOld + "short 12ab\n", "keys:2: key 'short' is not 64 hexadecimal digits"},
-      {kOld + "old " + std::string(64, '3'), "keys:2: key 'old' is there twice"},
+      {kOldKey + "short 12ab\n", "keys:2: key 'short' is not 64 hexadecimal digits"},
+      {kOldKey + "old " + std::string(64, '3'), "keys:2: key 'old' is there twice"},
       {"a/b " + std::string(64, '3'), "keys:1: a key's name"}};
-  for (const auto& [text, why] : cases) {
+  for (const auto& [text, reason] : cases) {
     try {
       Sealer::parse(text, "keys");
-      ADD_FAILURE() << why;
-    } catch (const config::InvalidFile& faults) {
-      ASSERT_EQ(faults.faults().size(), 1u);
-      EXPECT_EQ(faults.faults().front().text().find(why), 0u) << faults.faults().front().text();
+      ADD_FAILURE() << reason;
+    } catch (const config::InvalidFile& invalid) {
+      ASSERT_EQ(invalid.faults().size(), 1u);
+      EXPECT_EQ(invalid.faults().front().text().find(reason), 0u) << invalid.faults().front().text();
     }
   }
   EXPECT_THROW(Sealer::load("/nowhere/keys"), config::InvalidFile);
