--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -8,10 +8,10 @@
 namespace gannetcourse::lab {
 namespace {
 
-constexpr std::size_t kChannels = 2;       // connections to each node
-constexpr std::size_t kLiveSessions = 64;  // of a class that may go on
-constexpr double kWatchdog = 3;            // past a try's deadline: then nothing comes any more
-constexpr double kSlowReader = 0.4;        // seconds for which a slow reader takes nothing, again and again
+constexpr std::size_t kChannels = 2;      // connections to each node
+constexpr std::size_t kMaxSessions = 64;  // of a class that may go on
+constexpr double kWatchdogDelay = 3;      // past a try's deadline: then nothing comes any more
+constexpr double kSlowReaderPause = 0.4;  // seconds for which a slow reader takes nothing, again and again
 
 }  // namespace
 
@@ -78,7 +78,7 @@
   }
   fresh.tokens = fresh.sharedTokens;
   live.push_back(fresh);
-  if (live.size() > kLiveSessions) live.pop_front();
+  if (live.size() > kMaxSessions) live.pop_front();
   return live.back();
 }
 
@@ -115,6 +115,22 @@
   sendAttempt(request);
 }
 
+std::string Clients::makeMessage(const Request& request, ClientAttemptId id) const {
+  const ScenarioClass& c = scenario_.classes[request.classIndex];
+  v1::GenerateRequest message;
+  message.set_request_class(c.name);
+  message.set_tenant(request.tenant);
+  message.set_session(request.session);
+  message.set_prefix_key(request.prefix);
+  message.set_prefix_tokens(static_cast<std::uint32_t>(request.prefixTokens));
+  message.set_prompt("#" + std::to_string(id) + " why is this reading so high?");
+  message.set_prompt_tokens(static_cast<std::uint32_t>(request.promptTokens));
+  message.set_max_output_tokens(c.outputTokens);
+  message.set_seed(id);
+  message.set_is_retry(request.attempts > 0);
+  return message.SerializeAsString();
+}
+
 void Clients::sendAttempt(const std::shared_ptr<Request>& request) {
   if (nodes_.empty()) return;
   const ScenarioClass& c = scenario_.classes[request->classIndex];
@@ -123,55 +139,59 @@
   grpc::Channel& channel =
       *node.channels[std::uniform_int_distribution<std::size_t>(0, kChannels - 1)(random_)];
   const ClientAttemptId id = request->number * 16 + request->attempts;
-  v1::GenerateRequest message;
-  message.set_request_class(c.name);
-  message.set_tenant(request->tenant);
-  message.set_session(request->session);
-  message.set_prefix_key(request->prefix);
-  message.set_prefix_tokens(static_cast<std::uint32_t>(request->prefixTokens));
-  message.set_prompt("#" + std::to_string(id) + " why is this reading so high?");
-  message.set_prompt_tokens(static_cast<std::uint32_t>(request->promptTokens));
-  message.set_max_output_tokens(c.outputTokens);
-  message.set_seed(id);
-  message.set_is_retry(request->attempts > 0);
+  const std::string message = makeMessage(*request, id);
   const double patience = request->abusive ? abusePatience * c.ttftObjective : c.deadline;
   const double timeout = std::min(patience, request->giveUpAt - now);
   ++request->attempts;
   testbed_.ledger.onClientAttemptStarted(id, request->classIndex, now, now + timeout, c.outputTokens);
-  Attempt& t = attempts_[id];
-  t.request = request;
-  t.startedAt = now;
-  t.call = channel.start("/gannetcourse.v1.Chat/Generate", message.SerializeAsString(), Duration(timeout));
-  t.call->onMessage = [this, id](std::string_view bytes) {
-    v1::GenerateToken token;
-    token.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-    Attempt& mine = attempts_.at(id);
-    const double now = testbed_.now();
-    if (mine.firstAt <= 0) mine.firstAt = mine.lastAt = now;
-    mine.longestGap = std::max(mine.longestGap, now - mine.lastAt);
-    mine.lastAt = now;
-    ++service_.tokens;
-    testbed_.ledger.onClientToken(id, token.index(), token.text());
-  };
-  t.call->onEnd = [this, id](const grpc::CallEnd& end) { onAttemptEnded(id, end); };
-  t.watchdog = testbed_.loop.runAfter(Duration(timeout + kWatchdog), [this, id] {
-    const auto it = attempts_.find(id);
-    if (it == attempts_.end()) return;
-    const auto call = it->second.call;
-    call->onEnd = nullptr;
-    onAttemptEnded(id, {grpc::CallEnd::Kind::kConnectionLost, {}, {}});
-    call->cancel();
-  });
+  Attempt& attempt = attempts_[id];
+  attempt.request = request;
+  attempt.startedAt = now;
+  attempt.call = channel.start("/gannetcourse.v1.Chat/Generate", message, Duration(timeout));
+  attempt.call->onMessage = [this, id](std::string_view bytes) { onToken(id, bytes); };
+  attempt.call->onEnd = [this, id](const grpc::CallEnd& end) { onAttemptEnded(id, end); };
+  attempt.watchdog =
+      testbed_.loop.runAfter(Duration(timeout + kWatchdogDelay), [this, id] { onWatchdog(id); });
+  simulateUser(id, attempt.call, c);
+}
+
+void Clients::onToken(ClientAttemptId id, std::string_view bytes) {
+  v1::GenerateToken token;
+  token.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
+  Attempt& attempt = attempts_.at(id);
+  const double now = testbed_.now();
+  if (attempt.firstAt <= 0) {
+    attempt.firstAt = now;
+    attempt.lastAt = now;
+  }
+  attempt.longestGap = std::max(attempt.longestGap, now - attempt.lastAt);
+  attempt.lastAt = now;
+  ++service_.tokens;
+  testbed_.ledger.onClientToken(id, token.index(), token.text());
+}
+
+void Clients::onWatchdog(ClientAttemptId id) {
+  const auto it = attempts_.find(id);
+  if (it == attempts_.end()) return;
+  const auto call = it->second.call;
+  call->onEnd = nullptr;
+  onAttemptEnded(id, {grpc::CallEnd::Kind::kConnectionLost, {}, {}});
+  call->cancel();
+}
+
+// Some users cancel before the answer, some read slowly.
+void Clients::simulateUser(ClientAttemptId id, const std::shared_ptr<grpc::ClientCall>& call,
+                           const ScenarioClass& c) {
   std::uniform_real_distribution<double> draw;
   if (draw(random_) < scenario_.impatientShare) {
-    testbed_.loop.runAfter(Duration(draw(random_) * c.ttftObjective * 2),
-                           [this, id, call = t.call, alive = alive_] {
-                             if (*alive && attempts_.count(id) > 0) call->cancel();
-                           });
+    const Duration patience(draw(random_) * c.ttftObjective * 2);
+    testbed_.loop.runAfter(patience, [this, id, call, alive = alive_] {
+      if (*alive && attempts_.count(id) > 0) call->cancel();
+    });
   }
   if (draw(random_) < scenario_.slowReaderShare) {
-    t.call->pause(true);
-    testbed_.loop.runAfter(Duration(kSlowReader), [call = t.call] { call->pause(false); });
+    call->pause(true);
+    testbed_.loop.runAfter(Duration(kSlowReaderPause), [call] { call->pause(false); });
   }
 }
 
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -75,7 +75,12 @@
   void scheduleNext();
   double rateNow() const;
   void sendNewRequest();
+  std::string makeMessage(const Request& request, ClientAttemptId id) const;
   void sendAttempt(const std::shared_ptr<Request>& request);
+  void onToken(ClientAttemptId id, std::string_view bytes);
+  void onWatchdog(ClientAttemptId id);
+  void simulateUser(ClientAttemptId id, const std::shared_ptr<grpc::ClientCall>& call,
+                    const ScenarioClass& c);
   void onAttemptEnded(ClientAttemptId id, const grpc::CallEnd& end);
   void retryIfAllowed(const std::shared_ptr<Request>& request, ClientEnd end, double pushback);
   ClientEnd classify(const grpc::CallEnd& end) const;
--- a/lab/engine_model.cpp
+++ b/lab/engine_model.cpp
@@ -149,36 +149,42 @@
 
 void EngineModel::advance(std::uint64_t name, DecodeJob& job, double span, double share) {
   if (job.stage == DecodeJob::Stage::kFetching) {
-    if (job.fetchRemaining < 0) {
-      const std::optional<double> takes = job.startFetch();
-      if (!takes) return;
-      if (*takes < 0) {
-        const auto lost = job.onStateLost;
-        remove(name);
-        return lost();
-      }
-      job.fetchRemaining = *takes;
-    }
-    job.fetchRemaining -= span;
-    if (job.fetchRemaining > 0) return;
-    job.stage = DecodeJob::Stage::kDecoding;
-    job.onFetched();
+    if (!advanceFetch(name, job, span)) return;
   } else if (job.stage == DecodeJob::Stage::kPrefilling) {
     job.prefillRemaining -= span * share * spec_.tokensPerSecond;
     if (job.prefillRemaining > 0) return;
     job.stage = DecodeJob::Stage::kDecoding;
     if (job.needsPrefill) job.onFetched();
   }
-  const double crowd = 1 + spec_.contention * running() / std::max(1, spec_.slots);
-  job.tokensDue += span * share / (spec_.tokenTime * crowd);
+  decodeTokens(name, job, span, share);
+}
+
+// Whether the state has arrived. False also where it is lost: then the job is gone.
+bool EngineModel::advanceFetch(std::uint64_t name, DecodeJob& job, double span) {
+  if (job.fetchRemaining < 0) {
+    const std::optional<double> duration = job.startFetch();
+    if (!duration) return false;
+    if (*duration < 0) {
+      const auto onStateLost = job.onStateLost;
+      remove(name);
+      onStateLost();
+      return false;
+    }
+    job.fetchRemaining = *duration;
+  }
+  job.fetchRemaining -= span;
+  if (job.fetchRemaining > 0) return false;
+  job.stage = DecodeJob::Stage::kDecoding;
+  job.onFetched();
+  return true;
+}
+
+void EngineModel::decodeTokens(std::uint64_t name, DecodeJob& job, double span, double share) {
+  const double contention = 1 + spec_.contention * running() / std::max(1, spec_.slots);
+  job.tokensDue += span * share / (spec_.tokenTime * contention);
   while (job.tokensDue >= 1 && job.nextIndex < job.outputTokens) {
-    if (!fits(1)) {  // memory is full: the newest answer goes back into the queue and is read anew
-      auto newest = std::find_if(decodes_.rbegin(), decodes_.rend(),
-                                 [](const auto& w) { return w.second.stage == DecodeJob::Stage::kDecoding; });
-      decodeTokens_ -= std::exchange(newest->second.memoryTokens, 0);
-      newest->second.stage = DecodeJob::Stage::kQueued;
-      newest->second.preempted = true;
-      if (newest->first == name) return;
+    if (!fits(1)) {
+      if (preemptNewest() == name) return;
       continue;
     }
     job.tokensDue -= 1;
@@ -187,9 +193,21 @@
     job.onToken(job.nextIndex++);
   }
   if (job.nextIndex < job.outputTokens) return;
-  const auto done = job.onDone;
+  const auto onDone = job.onDone;
   remove(name);
-  done();
+  onDone();
+}
+
+// Memory is full: the newest stream goes back into the queue and is prefilled anew.
+std::uint64_t EngineModel::preemptNewest() {
+  const auto newest = std::find_if(decodes_.rbegin(), decodes_.rend(), [](const auto& entry) {
+    return entry.second.stage == DecodeJob::Stage::kDecoding;
+  });
+  DecodeJob& job = newest->second;
+  decodeTokens_ -= std::exchange(job.memoryTokens, 0);
+  job.stage = DecodeJob::Stage::kQueued;
+  job.preempted = true;
+  return newest->first;
 }
 
 void EngineModel::remove(std::uint64_t name) {
--- a/lab/engine_model.h
+++ b/lab/engine_model.h
@@ -99,6 +99,9 @@
   void stepDecodes(double span, double share);
   void admitDecodes();
   void advance(std::uint64_t name, DecodeJob& job, double span, double share);
+  bool advanceFetch(std::uint64_t name, DecodeJob& job, double span);
+  void decodeTokens(std::uint64_t name, DecodeJob& job, double span, double share);
+  std::uint64_t preemptNewest();
   double memoryUsed() const { return stateTokens_ + reservedTokens_ + decodeTokens_; }
   double cachedTokensOf(const PrefillJob& job);
   void cachePrefix(const std::string& key, double tokens);
--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -83,57 +83,78 @@
   }
 }
 
-void FaultInjector::onEngines(const Fault& t) {
-  const Picked picked = pick(t);
-  const auto each = [&](const std::function<void(FakeEngine&)>& on, std::function<void(FakeEngine&)> off) {
-    for (FakeEngine* const engine : picked) on(*engine);
-    undoAfter(t, [picked, off = std::move(off)] {
-      for (FakeEngine* const engine : picked) off(*engine);
-    });
+void FaultInjector::onEngines(const Fault& fault) {
+  const Picked picked = pick(fault);
+  if (fault.kind == "crash" || fault.kind == "vanish") {
+    for (FakeEngine* const engine : picked) takeDown(*engine, fault.duration, fault.kind == "vanish");
+  } else if (fault.kind == "ageing") {
+    slowDownThenCrash(picked, fault);
+  } else if (fault.kind == "pauses") {
+    pauseRepeatedly(picked, fault.size.value_or(0.3), fault.extra.value_or(1.5),
+                    testbed_.now() + fault.duration);
+  } else if (fault.kind == "hang" || fault.kind == "slow") {
+    const double speed = fault.kind == "hang" ? 0 : 1 / fault.size.value_or(5);
+    applyFor(
+        fault, picked, [speed](FakeEngine& e) { e.model().speed = speed; },
+        [](FakeEngine& e) { e.model().speed = 1; });
+  } else if (!onCalls(fault, picked)) {
+    preempt(picked, fault);
+  }
+}
+
+void FaultInjector::applyFor(const Fault& fault, const Picked& picked,
+                             const std::function<void(FakeEngine&)>& begin,
+                             std::function<void(FakeEngine&)> end) {
+  for (FakeEngine* const engine : picked) begin(*engine);
+  undoAfter(fault, [picked, end = std::move(end)] {
+    for (FakeEngine* const engine : picked) end(*engine);
+  });
+}
+
+bool FaultInjector::onCalls(const Fault& fault, const Picked& picked) {
+  const auto apply = [&](const std::function<void(CallFaults&)>& begin, void (*end)(CallFaults&)) {
+    applyFor(
+        fault, picked, [&begin](FakeEngine& e) { begin(e.callFaults); },
+        [end](FakeEngine& e) { end(e.callFaults); });
+    return true;
   };
-  if (t.kind == "fast_errors") {
-    each([&](FakeEngine& e) { e.callFaults.errorShare = t.size.value_or(0.7); },
-         [](FakeEngine& e) { e.callFaults.errorShare = 0; });
-  } else if (t.kind == "repeat_tokens") {
-    each([&](FakeEngine& e) { e.callFaults.repeatShare = t.size.value_or(0.2); },
-         [](FakeEngine& e) { e.callFaults.repeatShare = 0; });
-  } else if (t.kind == "cut_at_end") {
-    each([&](FakeEngine& e) { e.callFaults.cutAtEndShare = t.size.value_or(0.3); },
-         [](FakeEngine& e) { e.callFaults.cutAtEndShare = 0; });
-  } else if (t.kind == "hang" || t.kind == "slow") {
-    const double speed = t.kind == "hang" ? 0 : 1 / t.size.value_or(5);
-    each([&](FakeEngine& e) { e.model().speed = speed; }, [](FakeEngine& e) { e.model().speed = 1; });
-  } else if (t.kind == "class_fail") {
-    each(
-        [&](FakeEngine& e) {
-          e.callFaults.failingClass = t.requestClass;
-          e.callFaults.failingShare = t.size.value_or(0.8);
-          e.callFaults.failByError = t.variant == "error";
-        },
-        [](FakeEngine& e) { e.callFaults.failingClass.reset(); });
-  } else if (t.kind == "throttle") {
-    each(
-        [&](FakeEngine& e) {
-          const bool byClass = t.variant == "class" || scenario_.tenants.empty();
-          (byClass ? e.callFaults.throttledClass : e.callFaults.throttledTenant) =
-              byClass ? t.requestClass : t.tenant;
-          const double even = scenario_.requestsPerSecond / static_cast<double>(engines_.size());
-          e.callFaults.throttleRate = t.size.value_or(0.15) * even;
-          e.callFaults.throttleDelay = t.extra.value_or(0.2) * scenario_.classes.front().ttftObjective;
-        },
-        [](FakeEngine& e) {
-          e.callFaults.throttledTenant.reset();
-          e.callFaults.throttledClass.reset();
-        });
-  } else if (t.kind == "crash" || t.kind == "vanish") {
-    for (FakeEngine* const engine : picked) takeDown(*engine, t.duration, t.kind == "vanish");
-  } else if (t.kind == "ageing") {
-    slowDownThenCrash(picked, t);
-  } else if (t.kind == "pauses") {
-    pauseRepeatedly(picked, t.size.value_or(0.3), t.extra.value_or(1.5), testbed_.now() + t.duration);
+  if (fault.kind == "fast_errors")
+    return apply([&](CallFaults& calls) { calls.errorShare = fault.size.value_or(0.7); },
+                 [](CallFaults& calls) { calls.errorShare = 0; });
+  if (fault.kind == "repeat_tokens")
+    return apply([&](CallFaults& calls) { calls.repeatShare = fault.size.value_or(0.2); },
+                 [](CallFaults& calls) { calls.repeatShare = 0; });
+  if (fault.kind == "cut_at_end")
+    return apply([&](CallFaults& calls) { calls.cutAtEndShare = fault.size.value_or(0.3); },
+                 [](CallFaults& calls) { calls.cutAtEndShare = 0; });
+  if (fault.kind == "class_fail")
+    return apply([&](CallFaults& calls) { failClass(fault, calls); },
+                 [](CallFaults& calls) { calls.failingClass.reset(); });
+  if (fault.kind == "throttle")
+    return apply([&](CallFaults& calls) { throttle(fault, calls); },
+                 [](CallFaults& calls) {
+                   calls.throttledTenant.reset();
+                   calls.throttledClass.reset();
+                 });
+  return false;
+}
+
+void FaultInjector::failClass(const Fault& fault, CallFaults& calls) {
+  calls.failingClass = fault.requestClass;
+  calls.failingShare = fault.size.value_or(0.8);
+  calls.failByError = fault.variant == "error";
+}
+
+void FaultInjector::throttle(const Fault& fault, CallFaults& calls) const {
+  const bool byClass = fault.variant == "class" || scenario_.tenants.empty();
+  if (byClass) {
+    calls.throttledClass = fault.requestClass;
   } else {
-    preempt(picked, t);
+    calls.throttledTenant = fault.tenant;
   }
+  const double evenRate = scenario_.requestsPerSecond / static_cast<double>(engines_.size());
+  calls.throttleRate = fault.size.value_or(0.15) * evenRate;
+  calls.throttleDelay = fault.extra.value_or(0.2) * scenario_.classes.front().ttftObjective;
 }
 
 // Down for some seconds, then back cold; the registry hears of both late.
--- a/lab/fault_injector.h
+++ b/lab/fault_injector.h
@@ -1,4 +1,4 @@
-// Carries out a day's troubles on its stand-ins, registry and clients.
+// Carries out the faults of a scenario on its fake engines, registry and clients.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,8 @@
   FaultInjector(Testbed& testbed, const Scenario& scenario, Engines& engines, FakeRegistry& registry,
                 Clients& clients);
 
-  void schedule();  // all of the day's, from now
+  /// Schedules all of the scenario's faults, from now.
+  void schedule();
   std::function<void(const std::string&)> onProgress;
 
  private:
@@ -30,6 +31,13 @@
   void runAfter(double seconds, std::function<void()> task);
 
   void onEngines(const Fault& fault);
+  // Begins on each engine now, ends on each after the fault's duration.
+  void applyFor(const Fault& fault, const Picked& picked, const std::function<void(FakeEngine&)>& begin,
+                std::function<void(FakeEngine&)> end);
+  // Faults that act on single calls; false for any other kind.
+  bool onCalls(const Fault& fault, const Picked& picked);
+  static void failClass(const Fault& fault, CallFaults& calls);
+  void throttle(const Fault& fault, CallFaults& calls) const;
   void onFleet(const Fault& fault);
   void onClients(const Fault& fault);
   void takeDown(FakeEngine& engine, double seconds, bool silently);
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -61,56 +61,66 @@
   return found.violations.empty() ? 0 : 1;
 }
 
+void addScenarioOptions(CLI::App& command, std::string& file, lab::ScenarioOptions& options) {
+  command.add_option("file", file, "day script (XML)")->required();
+  command.add_option("--seed", options.seed, "another seed than the script's");
+  command.add_option("--nodes", options.nodeCount, "another number of nodes")->check(CLI::Range(1, 64));
+  command.add_flag("--in-process", options.inProcess,
+                   "the library in this process instead of node processes");
+  command.add_option("--node-binary", options.nodeBinary, "the daemon to run");
+  command.add_option("--keep", options.folder, "folder in which nodes' settings and logs stay");
+  command.add_option("--break", options.seededFault,
+                     "put a fault into the nodes, to prove the audit (with --in-process)");
+  command.add_flag("--no-recovery", options.noRecovery, "do not continue streams that lose their writer");
+  command.add_flag("--quiet", options.quiet, "no progress");
+}
+
+void addBenchOptions(CLI::App& command, lab::BenchOptions& options) {
+  command.add_option("--seconds", options.seconds, "of each measurement")->check(CLI::Range(0.1, 60.0));
+  command.add_option("--rounds", options.rounds, "of all measurements in turn")->check(CLI::Range(1, 20));
+  command.add_flag("!--no-memory", options.memory, "leave out the memory of open streams");
+}
+
+void addSearchOptions(CLI::App& command, SearchOptions& search) {
+  command.add_option("--depth", search.options.depth, "events after the first token")
+      ->check(CLI::Range(1, 1000));
+  command.add_option("--lives", search.lives, "random lives instead of every order, one for each seed");
+  command.add_option("--seed", search.seed, "of the first life");
+  command.add_option("--streams", search.options.streams, "of a life")->check(CLI::Range(1, 50));
+  command.add_option("--lease", search.lease,
+                     "what the core takes engines' lease of 2 s for: less is a fault");
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   CLI::App app("gannetcourse-lab: stand-in engines, load and audit for gannetcourse");
   app.require_subcommand(1);
-  CLI::App* const scenario = app.add_subcommand("day", "play a scripted day on stand-ins and audit it");
+  CLI::App* const day = app.add_subcommand("day", "play a scripted day on stand-ins and audit it");
   std::string file;
-  lab::ScenarioOptions options;
-  options.nodeBinary = pathBesideThisProgram("gannetcourse");
-  scenario->add_option("file", file, "day script (XML)")->required();
-  scenario->add_option("--seed", options.seed, "another seed than the script's");
-  scenario->add_option("--nodes", options.nodeCount, "another number of nodes")->check(CLI::Range(1, 64));
-  scenario->add_flag("--in-process", options.inProcess,
-                     "the library in this process instead of node processes");
-  scenario->add_option("--node-binary", options.nodeBinary, "the daemon to run");
-  scenario->add_option("--keep", options.folder, "folder in which nodes' settings and logs stay");
-  scenario->add_option("--break", options.seededFault,
-                       "put a fault into the nodes, to prove the audit (with --in-process)");
-  scenario->add_flag("--no-recovery", options.noRecovery, "do not continue streams that lose their writer");
-  scenario->add_flag("--quiet", options.quiet, "no progress");
+  lab::ScenarioOptions scenarioOptions;
+  scenarioOptions.nodeBinary = pathBesideThisProgram("gannetcourse");
+  addScenarioOptions(*day, file, scenarioOptions);
   CLI::App* const bench =
       app.add_subcommand("bench", "measure what the node costs, as ratios within one run");
-  lab::BenchOptions measure;
-  measure.nodeBinary = options.nodeBinary;
-  bench->add_option("--seconds", measure.seconds, "of each measurement")->check(CLI::Range(0.1, 60.0));
-  bench->add_option("--rounds", measure.rounds, "of all measurements in turn")->check(CLI::Range(1, 20));
-  bench->add_flag("!--no-memory", measure.memory, "leave out the memory of open streams");
-  CLI::App* const orders =
+  lab::BenchOptions benchOptions;
+  benchOptions.nodeBinary = scenarioOptions.nodeBinary;
+  addBenchOptions(*bench, benchOptions);
+  CLI::App* const explore =
       app.add_subcommand("explore", "drive the core through every order of a stream's events");
-  SearchOptions order;
-  orders->add_option("--depth", order.options.depth, "events after the first token")
-      ->check(CLI::Range(1, 1000));
-  orders->add_option("--lives", order.lives, "random lives instead of every order, one for each seed");
-  orders->add_option("--seed", order.seed, "of the first life");
-  orders->add_option("--streams", order.options.streams, "of a life")->check(CLI::Range(1, 50));
-  orders->add_option("--lease", order.lease,
-                     "what the core takes engines' lease of 2 s for: less is a fault");
+  SearchOptions search;
+  addSearchOptions(*explore, search);
   CLI11_PARSE(app, argc, argv);
   try {
-    if (orders->parsed()) return searchForFaults(order);
-    if (bench->parsed()) {
-      lab::bench(measure, std::cout);
-      return 0;
-    }
-    return runScenarioFile(file, options);
-  } catch (const config::InvalidFile& faults) {
-    for (const config::Fault& fault : faults.faults()) std::cerr << fault.text() << '\n';
-  } catch (const std::exception& fault) {
-    std::cerr << "gannetcourse-lab: " << fault.what() << '\n';
+    if (explore->parsed()) return searchForFaults(search);
+    if (day->parsed()) return runScenarioFile(file, scenarioOptions);
+    lab::bench(benchOptions, std::cout);
+    return 0;
+  } catch (const config::InvalidFile& invalid) {
+    for (const config::Fault& fault : invalid.faults()) std::cerr << fault.text() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "gannetcourse-lab: " << error.what() << '\n';
   }
   return 2;
 }
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -7,6 +7,9 @@
 namespace gannetcourse::lab {
 namespace {
 
+constexpr std::uint32_t kMaxRetries = 14;  // an attempt's number has 4 bits of its id
+constexpr double kQuotaHeadroom = 1.3;     // of a tenant's quota over its share of the traffic
+
 Role roleOf(const std::string& name) {
   return name == "prefill" ? Role::kPrefill : name == "decode" ? Role::kDecode : Role::kMixed;
 }
@@ -103,6 +106,73 @@
   }
 }
 
+void readTenants(const config::Element& tenants, Scenario& scenario) {
+  scenario.overQuotaWeight = tenants.number("over-share-worth", scenario.overQuotaWeight);
+  for (const config::Element& tenant : tenants.children())
+    scenario.tenants.push_back({tenant.text("name"), tenant.number("share", 1)});
+}
+
+void readTraffic(const config::Element& traffic, Scenario& scenario, std::vector<config::Fault>& faults) {
+  scenario.requestsPerSecond = traffic.number("rate", scenario.requestsPerSecond);
+  scenario.shape = traffic.text("shape", scenario.shape);
+  scenario.maxRetries = static_cast<std::uint32_t>(traffic.count("retries", scenario.maxRetries));
+  scenario.retryBackoff = seconds(traffic, "back-off", scenario.retryBackoff);
+  scenario.retryAfterHonoredShare = traffic.number("heed", scenario.retryAfterHonoredShare);
+  scenario.impatientShare = traffic.number("impatient", 0);
+  scenario.slowReaderShare = traffic.number("slow-readers", 0);
+  if (scenario.maxRetries > kMaxRetries) faults.push_back(traffic.fault("retries is over 14", "lower it"));
+}
+
+void readRules(const config::Element& rules, Scenario& scenario) {
+  scenario.maxAttempts = static_cast<int>(rules.count("max-attempts", 5));
+  scenario.stateLeaseLimit = seconds(rules, "pin-limit", scenario.stateLeaseLimit);
+  scenario.drainGrace = seconds(rules, "drain-grace", scenario.drainGrace);
+  scenario.responseMargin = seconds(rules, "answer-margin", scenario.responseMargin);
+  scenario.slowStartInitialCapacity = rules.number("start-capacity", scenario.slowStartInitialCapacity);
+  scenario.slowStartDuration = seconds(rules, "warm-after", scenario.slowStartDuration);
+  scenario.slowStartOverloadFactor = rules.number("overload-factor", scenario.slowStartOverloadFactor);
+  scenario.slowStartWindow = seconds(rules, "window", scenario.slowStartWindow);
+  scenario.reports = rules.text("reports", scenario.reports);
+  scenario.minSilence = seconds(rules, "silence-at-least", scenario.minSilence);
+}
+
+// ---- The settings of a scenario's nodes ----
+std::string quotedTime(double seconds) {
+  return config::quotedAttribute(config::formatDuration(Duration(seconds)));
+}
+
+std::string formatClass(const ScenarioClass& c) {
+  std::string text =
+      "    <class name=" + config::quotedAttribute(c.name) + " aim=" + quotedTime(c.ttftObjective) +
+      " token-aim=" + quotedTime(c.interTokenObjective) +
+      " first-token-within=" + quotedTime(c.firstTokenTimeout) + " worth=\"" + plain(c.priorityWeight) +
+      "\" effect=\"" + c.effect + "\" group=\"" + c.dedupScope + "\"";
+  if (c.dedupWindow > 0) text += " dedup-window=" + quotedTime(c.dedupWindow);
+  return text + " max-prompt-tokens=\"200000\" max-output-tokens=\"4096\"/>\n";
+}
+
+std::string formatTenants(const Scenario& scenario) {
+  if (scenario.tenants.empty()) return {};
+  std::string text = "  <tenants over-share-worth=\"" + plain(scenario.overQuotaWeight) + "\">\n";
+  for (const ScenarioTenant& tenant : scenario.tenants) {
+    const double quotaPerSecond = tenant.quotaShare * scenario.requestsPerSecond * kQuotaHeadroom;
+    text += "    <tenant name=" + config::quotedAttribute(tenant.name) + " share=\"" +
+            plain(tenant.quotaShare) + "\" quota-per-second=\"" + plain(quotaPerSecond) + "\"/>\n";
+  }
+  return text + "  </tenants>\n";
+}
+
+std::string formatLimits(const Scenario& s) {
+  std::string text = "  <limits max-attempts=\"" + std::to_string(s.maxAttempts) +
+                     "\" answer-margin=" + quotedTime(s.responseMargin) +
+                     " pin-limit=" + quotedTime(s.stateLeaseLimit) +
+                     " drain-grace=" + quotedTime(s.drainGrace) + " max-retry-after=\"500ms\"/>\n";
+  text += "  <cold-start start-capacity=\"" + plain(s.slowStartInitialCapacity) +
+          "\" warm-after=" + quotedTime(s.slowStartDuration) + " overload-factor=\"" +
+          plain(s.slowStartOverloadFactor) + "\" window=" + quotedTime(s.slowStartWindow) + "/>\n";
+  return text;
+}
+
 }  // namespace
 
 std::string Fault::describe() const {
@@ -122,32 +192,9 @@
     scenario.zones.push_back(zone.text("name"));
   readEngines(*root.child("fleet"), scenario);
   readClasses(*root.child("classes"), scenario);
-  if (const auto tenants = root.child("tenants")) {
-    scenario.overQuotaWeight = tenants->number("over-share-worth", scenario.overQuotaWeight);
-    for (const config::Element& e : tenants->children())
-      scenario.tenants.push_back({e.text("name"), e.number("share", 1)});
-  }
-  const config::Element traffic = *root.child("traffic");
-  scenario.requestsPerSecond = traffic.number("rate", scenario.requestsPerSecond);
-  scenario.shape = traffic.text("shape", scenario.shape);
-  scenario.maxRetries = static_cast<std::uint32_t>(traffic.count("retries", scenario.maxRetries));
-  scenario.retryBackoff = seconds(traffic, "back-off", scenario.retryBackoff);
-  scenario.retryAfterHonoredShare = traffic.number("heed", scenario.retryAfterHonoredShare);
-  scenario.impatientShare = traffic.number("impatient", 0);
-  scenario.slowReaderShare = traffic.number("slow-readers", 0);
-  if (scenario.maxRetries > 14) faults.push_back(traffic.fault("retries is over 14", "lower it"));
-  if (const auto rules = root.child("rules")) {
-    scenario.maxAttempts = static_cast<int>(rules->count("max-attempts", 5));
-    scenario.stateLeaseLimit = seconds(*rules, "pin-limit", scenario.stateLeaseLimit);
-    scenario.drainGrace = seconds(*rules, "drain-grace", scenario.drainGrace);
-    scenario.responseMargin = seconds(*rules, "answer-margin", scenario.responseMargin);
-    scenario.slowStartInitialCapacity = rules->number("start-capacity", scenario.slowStartInitialCapacity);
-    scenario.slowStartDuration = seconds(*rules, "warm-after", scenario.slowStartDuration);
-    scenario.slowStartOverloadFactor = rules->number("overload-factor", scenario.slowStartOverloadFactor);
-    scenario.slowStartWindow = seconds(*rules, "window", scenario.slowStartWindow);
-    scenario.reports = rules->text("reports", scenario.reports);
-    scenario.minSilence = seconds(*rules, "silence-at-least", scenario.minSilence);
-  }
+  if (const auto tenants = root.child("tenants")) readTenants(*tenants, scenario);
+  readTraffic(*root.child("traffic"), scenario, faults);
+  if (const auto rules = root.child("rules")) readRules(*rules, scenario);
   for (EngineSpec& spec : scenario.engines) {
     spec.initialCapacity = scenario.slowStartInitialCapacity;
     spec.slowStartDuration = scenario.slowStartDuration;
@@ -178,9 +225,6 @@
 }
 
 std::string Scenario::nodeSettings(std::uint32_t number, const std::string& registry) const {
-  const auto time = [](double seconds) {
-    return config::quotedAttribute(config::formatDuration(Duration(seconds)));
-  };
   std::string text = "<gannetcourse xmlns=\"urn:gannetcourse:settings:1\">\n";
   text += "  <node name=\"node-" + std::to_string(number) +
           "\" zone=" + config::quotedAttribute(zones[number % zones.size()]) + " nodes=\"" +
@@ -188,32 +232,11 @@
   text += "  <listen grpc=\"127.0.0.1:0\"/>\n  <zones>\n";
   for (const std::string& zone : zones) text += "    <zone name=" + config::quotedAttribute(zone) + "/>\n";
   text += "  </zones>\n  <classes>\n";
-  for (const ScenarioClass& c : classes) {
-    text += "    <class name=" + config::quotedAttribute(c.name) + " aim=" + time(c.ttftObjective) +
-            " token-aim=" + time(c.interTokenObjective) + " first-token-within=" + time(c.firstTokenTimeout) +
-            " worth=\"" + plain(c.priorityWeight) + "\" effect=\"" + c.effect + "\" group=\"" + c.dedupScope +
-            "\"";
-    if (c.dedupWindow > 0) text += " dedup-window=" + time(c.dedupWindow);
-    text += " max-prompt-tokens=\"200000\" max-output-tokens=\"4096\"/>\n";
-  }
-  text += "  </classes>\n";
-  if (!tenants.empty()) {
-    text += "  <tenants over-share-worth=\"" + plain(overQuotaWeight) + "\">\n";
-    for (const ScenarioTenant& t : tenants) {
-      text += "    <tenant name=" + config::quotedAttribute(t.name) + " share=\"" + plain(t.quotaShare) +
-              "\" quota-per-second=\"" + plain(t.quotaShare * requestsPerSecond * 1.3) + "\"/>\n";
-    }
-    text += "  </tenants>\n";
-  }
-  text += "  <limits max-attempts=\"" + std::to_string(maxAttempts) +
-          "\" answer-margin=" + time(responseMargin) + " pin-limit=" + time(stateLeaseLimit) +
-          " drain-grace=" + time(drainGrace) + " max-retry-after=\"500ms\"/>\n";
-  text += "  <cold-start start-capacity=\"" + plain(slowStartInitialCapacity) +
-          "\" warm-after=" + time(slowStartDuration) + " overload-factor=\"" +
-          plain(slowStartOverloadFactor) + "\" window=" + time(slowStartWindow) + "/>\n";
+  for (const ScenarioClass& c : classes) text += formatClass(c);
+  text += "  </classes>\n" + formatTenants(*this) + formatLimits(*this);
   text += "  <engines reports=\"" + reports + "\"/>\n";
   text += std::string("  <recovery enabled=\"") + (recoveryEnabled ? "true" : "false") +
-          "\" silence-at-least=" + time(minSilence) + "/>\n";
+          "\" silence-at-least=" + quotedTime(minSilence) + "/>\n";
   text += "  <fleet registry=" + config::quotedAttribute(registry) +
           "/>\n  <log level=\"debug\"/>\n</gannetcourse>\n";
   return text;
