--- /dev/null
+++ b/tests/node_request_test.cpp
@@ -0,0 +1,146 @@
+// Requests end to end: validation, final responses, drain and health of a whole node.
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include "gannetcourse/v1/health.pb.h"
+#include "node_fixture.h"
+
+namespace gannetcourse::node {
+namespace {
+
+TEST_F(NodeTest, StreamsAResponseFromEndToEnd) {
+  startWithTwoEngines();
+  const auto response = generate();
+  ASSERT_TRUE(waitForEnd(response));
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
+  EXPECT_EQ(response->finalStatus(), "served");
+  EXPECT_EQ(response->tokens, (std::vector<std::string>{"one ", "two"}));
+  runFor();
+  EXPECT_EQ(prefillEngine.prefills, 1);
+  EXPECT_EQ(decodeEngine.decodes, 1);
+  EXPECT_EQ(node->core().pendingObligations(), 0u);
+}
+
+TEST_F(NodeTest, RejectsAnInvalidRequestNamingTheField) {
+  startWithTwoEngines();
+  struct Case {
+    void (*spoil)(v1::GenerateRequest&);
+    const char* field;
+  };
+  const Case cases[] = {
+      {[](v1::GenerateRequest& r) { r.set_request_class("nobody"); }, "request_class"},
+      {[](v1::GenerateRequest& r) { r.set_tenant("stranger"); }, "tenant"},
+      {[](v1::GenerateRequest& r) { r.set_prompt_tokens(5001); }, "prompt_tokens"},
+      {[](v1::GenerateRequest& r) { r.clear_prompt(); }, "prompt"},
+      {[](v1::GenerateRequest& r) { r.set_max_output_tokens(100000); }, "max_output_tokens"},
+      {[](v1::GenerateRequest& r) { r.set_prefix_tokens(101); }, "prefix_tokens"},
+  };
+  for (const Case& invalid : cases) {
+    v1::GenerateRequest request = query();
+    invalid.spoil(request);
+    const auto response = generate(request);
+    ASSERT_TRUE(waitForEnd(response));
+    EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument)) << invalid.field;
+    EXPECT_EQ(response->end->status.message.rfind(invalid.field, 0), 0u) << response->end->status.message;
+  }
+  const auto withoutDeadline = std::make_shared<Response>();
+  withoutDeadline->call = channel->start("/gannetcourse.v1.Chat/Generate", query().SerializeAsString());
+  withoutDeadline->call->onEnd = [withoutDeadline](const grpc::CallEnd& end) { withoutDeadline->end = end; };
+  ASSERT_TRUE(waitForEnd(withoutDeadline));
+  EXPECT_TRUE(withoutDeadline->endedWith(grpc::Code::kInvalidArgument));
+  EXPECT_NE(withoutDeadline->end->status.message.find("grpc-timeout"), std::string::npos);
+  const auto late = generate(query(), Duration(0.05));
+  ASSERT_TRUE(waitForEnd(late));
+  EXPECT_TRUE(late->endedWith(grpc::Code::kDeadlineExceeded));
+  EXPECT_EQ(prefillEngine.prefills, 0);
+  EXPECT_EQ(node->core().counters().accepted, 0u) << "invalid requests are not accepted";
+}
+
+TEST_F(NodeTest, ARejectionCarriesRetryAfter) {
+  start(fileSource({}));
+  const auto response = generate();
+  ASSERT_TRUE(waitForEnd(response));
+  EXPECT_TRUE(response->endedWith(grpc::Code::kUnavailable)) << response->end->status.message;
+  EXPECT_EQ(response->finalStatus(), "refused");
+  const std::string* advice = http2::find(response->end->trailers, "grpc-retry-pushback-ms");
+  ASSERT_NE(advice, nullptr);
+  EXPECT_GT(std::stoi(*advice), 0);
+}
+
+TEST_F(NodeTest, ADrainFinishesAcceptedRequestsAndRejectsNewOnes) {
+  startWithTwoEngines();
+  ServerCall openDecode;
+  decodeEngine.onDecode = [&](const ServerCall& call, const v1::DecodeRequest&) {
+    ScriptedEngine::sendToken(call, 0, "one ");
+    openDecode = call;
+  };
+  const auto streaming = generate();
+  ASSERT_TRUE(waitUntil([&] { return streaming->tokens.size() == 1; }));
+  ServerCall openPrefill;
+  prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) { openPrefill = call; };
+  const auto prefilling = generate();
+  ASSERT_TRUE(waitUntil([&] { return openPrefill != nullptr; }));
+  bool drained = false;
+  node->drain([&] { drained = true; });
+  const auto late = generate();
+  runFor();
+  EXPECT_FALSE(drained) << "two requests still wait for their response";
+  openDecode->finish({});
+  decodeEngine.onDecode = nullptr;
+  ScriptedEngine::replyToPrefill(openPrefill);
+  ASSERT_TRUE(waitUntil([&] { return drained; }));
+  EXPECT_TRUE(streaming->endedWith(grpc::Code::kOk));
+  EXPECT_TRUE(prefilling->endedWith(grpc::Code::kOk));
+  ASSERT_TRUE(waitForEnd(late));
+  EXPECT_FALSE(late->endedWith(grpc::Code::kOk));
+}
+
+TEST_F(NodeTest, HealthFollowsTheNode) {
+  startWithTwoEngines();
+  using ::grpc::health::v1::HealthCheckRequest;
+  using ::grpc::health::v1::HealthCheckResponse;
+  std::vector<int> statuses;
+  bool ended = false;
+  const auto watch = channel->start("/grpc.health.v1.Health/Watch", HealthCheckRequest().SerializeAsString());
+  watch->onMessage = [&](std::string_view bytes) {
+    statuses.push_back(parsed<HealthCheckResponse>(bytes).status());
+  };
+  watch->onEnd = [&](const grpc::CallEnd&) { ended = true; };
+  ASSERT_TRUE(waitUntil([&] { return !statuses.empty(); }));
+  bool drained = false;
+  node->drain([&] { drained = true; });
+  ASSERT_TRUE(waitUntil([&] { return ended && drained; }));
+  EXPECT_EQ(statuses, (std::vector<int>{HealthCheckResponse::SERVING, HealthCheckResponse::NOT_SERVING}));
+}
+
+TEST_F(NodeTest, TenThousandConnectionsOpenedAndClosed) {
+  startWithTwoEngines();
+  const sockaddr_in to = [&] {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(node->port());
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return address;
+  }();
+  for (int i = 0; i < 10000; ++i) {
+    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    ASSERT_GE(fd, 0);
+    connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+    // Half of them close at once, half after bytes that are not HTTP/2; a third by a reset.
+    if (i % 2 == 0) [[maybe_unused]]
+      const auto sent = send(fd, "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL);
+    const linger now{1, i % 3 == 0 ? 0 : 1};
+    if (i % 3 == 0) setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    close(fd);
+    if (i % 50 == 0) loop.runOnce(Duration(0));
+  }
+  runFor();
+  const auto response = generate();
+  ASSERT_TRUE(waitForEnd(response));
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk));
+}
+
+}  // namespace
+}  // namespace gannetcourse::node
