--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -24,7 +24,9 @@
 
 gannetcourse_component(net SOURCES src/net/loop.cpp src/net/endpoint.cpp src/net/connection.cpp src/net/listener.cpp LINK gannetcourse_policy Threads::Threads)
 gannetcourse_component(http2 SOURCES src/http2/headers.cpp src/http2/session.cpp src/http2/session_callbacks.cpp LINK gannetcourse_net PkgConfig::NGHTTP2)
-gannetcourse_component(grpc SOURCES src/grpc/protocol.cpp src/grpc/server.cpp src/grpc/channel.cpp
+gannetcourse_component(grpc SOURCES src/grpc/protocol.cpp src/grpc/server.cpp src/grpc/server_connection.cpp
+                                src/grpc/server_call.cpp src/grpc/channel.cpp src/grpc/channel_connection.cpp
+                                src/grpc/client_call.cpp
                   LINK gannetcourse_http2)
 gannetcourse_component(config SOURCES src/config/xml.cpp src/config/settings.cpp src/config/in_service.cpp
                   LINK gannetcourse_net LibXml2::LibXml2)
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -13,6 +13,8 @@
     "ABORTED",   "OUT_OF_RANGE",   "UNIMPLEMENTED",     "INTERNAL",           "UNAVAILABLE",
     "DATA_LOSS", "UNAUTHENTICATED"};
 
+constexpr std::size_t kMaxReturnedBytes = 64 * 1024;  // kept at the front of the buffer before it is moved up
+
 int hexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -99,11 +101,15 @@
   return std::string(prefix.data(), prefix.size()).append(message);
 }
 
+void MessageReader::discardReturned() {
+  const bool everything = offset_ == buffer_.size();
+  if (offset_ == 0 || (!everything && offset_ <= kMaxReturnedBytes)) return;
+  buffer_.erase(0, offset_);
+  offset_ = 0;
+}
+
 std::optional<std::string_view> MessageReader::next() {
-  if (offset_ > 0 && (offset_ == buffer_.size() || offset_ > 64 * 1024)) {
-    buffer_.erase(0, offset_);
-    offset_ = 0;
-  }
+  discardReturned();
   if (fault_ != Fault::kNone || buffer_.size() - offset_ < kPrefixBytes) return std::nullopt;
   const auto* bytes = reinterpret_cast<const unsigned char*>(buffer_.data()) + offset_;
   std::size_t size = 0;
@@ -111,9 +117,10 @@
   if (bytes[0] > 1) fault_ = Fault::kBadFlag;
   if (bytes[0] == 1) fault_ = Fault::kCompressed;
   if (size > maxMessageBytes_) fault_ = Fault::kTooLarge;
-  if (fault_ != Fault::kNone || buffer_.size() - offset_ < kPrefixBytes + size) return std::nullopt;
+  const std::size_t frameBytes = kPrefixBytes + size;
+  if (fault_ != Fault::kNone || buffer_.size() - offset_ < frameBytes) return std::nullopt;
   const std::string_view message(buffer_.data() + offset_ + kPrefixBytes, size);
-  offset_ += kPrefixBytes + size;
+  offset_ += frameBytes;
   return message;
 }
 
--- a/src/grpc/protocol.h
+++ b/src/grpc/protocol.h
@@ -13,6 +13,7 @@
 
 namespace gannetcourse::grpc {
 
+/// Status codes of gRPC.
 enum class Code : int {
   kOk = 0,
   kCancelled = 1,
@@ -32,53 +33,59 @@
   kDataLoss = 15,
   kUnauthenticated = 16,
 };
-const char* nameOf(Code code);  // "DEADLINE_EXCEEDED"
-// A number from the wire; what is no status counts as kUnknown.
+/// The code's standard name: "DEADLINE_EXCEEDED".
+const char* nameOf(Code code);
+/// The code of a number from the wire; kUnknown where that is not a status.
 Code codeFromText(std::string_view number);
 
+/// How a call ended, as its server states it.
 struct Status {
   Code code = Code::kOk;
   std::string message;
 };
 
-// grpc-message: bytes outside 0x20..0x7e, and '%', as %XX. Decoding passes broken escapes through as they
-// are.
+/// Encodes a grpc-message: bytes outside 0x20..0x7e, and '%', become %XX.
 std::string percentEncode(std::string_view text);
+/// Decodes a grpc-message. Broken escapes are passed through unchanged.
 std::string percentDecode(std::string_view text);
 
-// grpc-timeout: up to 8 digits and one of H M S m u n. Nothing where malformed.
+/// Parses a grpc-timeout: up to 8 digits and one of H M S m u n. Nothing where malformed.
 std::optional<Duration> parseTimeout(std::string_view text);
-// Rounds down, so that a called party never has longer than the caller.
+/// Formats a grpc-timeout. Rounds down, so that a server never has longer than its client.
 std::string formatTimeout(Duration timeout);
 
-// What stands before a message: no compression, and its length, big-endian.
+/// Bytes ahead of a message: a flag (not compressed), and the message's length, big-endian.
 inline constexpr std::size_t kPrefixBytes = 5;
 using FramePrefix = std::array<char, kPrefixBytes>;
 FramePrefix framePrefix(std::size_t size);
-// A message with its prefix.
+/// A message with its prefix.
 std::string frame(std::string_view message);
 
-// Cuts a byte stream into messages.
+/// Splits a byte stream into messages.
 class MessageReader {
  public:
+  /// Why the byte stream cannot be read any further.
   enum class Fault { kNone, kTooLarge, kCompressed, kBadFlag };
-  explicit MessageReader(std::size_t mostBytes) : maxMessageBytes_(mostBytes) {}
+  explicit MessageReader(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
 
   void add(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole message, if there is one; valid until the next call. After a fault there is none any more.
+  /// The next complete message, if there is one; valid until the next call. After a fault there is none.
   std::optional<std::string_view> next();
   Fault fault() const { return fault_; }
   bool isInsideMessage() const { return offset_ < buffer_.size(); }
-  std::size_t bufferedBytes() const { return buffer_.size() - offset_; }  // bytes not yet given out
+  /// Bytes that next() has not returned.
+  std::size_t bufferedBytes() const { return buffer_.size() - offset_; }
 
  private:
+  void discardReturned();
+
   std::size_t maxMessageBytes_;
   std::string buffer_;
-  std::size_t offset_ = 0;
+  std::size_t offset_ = 0;  // bytes at the start of buffer_ that next() has returned
   Fault fault_ = Fault::kNone;
 };
 
-// The status that an HTTP/2 stream's end without trailers stands for.
+/// The status that a stream reset with this HTTP/2 error code stands for.
 Code codeFromHttp2Error(std::uint32_t http2Code);
 
 }  // namespace gannetcourse::grpc
--- /dev/null
+++ b/src/grpc/server_call.h
@@ -0,0 +1,64 @@
+// One gRPC call at a server.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "grpc/protocol.h"
+#include "http2/session.h"
+
+namespace gannetcourse::grpc {
+
+class ServerConnection;
+
+/// A call in progress. Its handler may keep it; once it has ended its functions do nothing.
+class ServerCall : public std::enable_shared_from_this<ServerCall> {
+ public:
+  const std::string& method() const { return method_; }  ///< "/package.Service/Method".
+  const http2::Headers& metadata() const { return metadata_; }
+  std::optional<Duration> timeout() const { return timeout_; }  ///< The client's, counted from receivedAt().
+  Instant receivedAt() const { return receivedAt_; }            ///< When the request's headers arrived.
+  const std::string& peer() const;                              ///< The connection's user-agent.
+  std::uint64_t connectionId() const;                           ///< 0 once the stream has closed.
+  Instant lastReceivedAt() const;  ///< When anything last arrived on its connection.
+  bool silenced() const;           ///< Suspended by Server::freeze(): what is sent waits here.
+  bool isOpen() const { return connection_ != nullptr && !finished_; }
+
+  /// Sends a message. Returns the bytes that the client has not taken yet, this message's included.
+  std::size_t send(std::string_view message);
+  void finish(const Status& status, const http2::Headers& trailers = {});
+  /// Ends the call without a status.
+  void reset(std::uint32_t http2Code);
+  /// Discards output that the client does not take, also after finish().
+  void abandon();
+  /// Output that the client has not taken yet, bytes.
+  std::size_t pendingBytes() const;
+
+  /// Called once if the client cancels or the connection is lost before the status has been sent.
+  std::function<void()> onCancelled;
+  /// Called whenever pendingBytes() has fallen to 0.
+  std::function<void()> onDrained;
+  /// Called once when the stream has ended in both directions, for whatever reason.
+  std::function<void()> onClosed;
+
+ private:
+  friend class ServerConnection;
+  std::string method_;
+  http2::Headers metadata_;
+  std::optional<Duration> timeout_;
+  Instant receivedAt_;
+  ServerConnection* connection_ = nullptr;  // null once the stream has closed
+  http2::StreamId stream_ = 0;
+  std::unique_ptr<MessageReader> reader_;
+  std::string requestMessage_;
+  int messagesReceived_ = 0;
+  bool headersSent_ = false;
+  bool finished_ = false;
+  bool remoteClosed_ = false;
+};
+
+}  // namespace gannetcourse::grpc
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -32,24 +32,26 @@
 }
 
 namespace {
-const Duration kWatchAgain{0.01};  // after the kernel could not watch a descriptor
+const Duration kWatchRetryDelay{0.01};  // after the kernel could not watch a descriptor
+const Duration kMaxWait{60};            // of one iteration
+constexpr int kGenerationShift = 32;
 
-[[noreturn]] void systemFault(const char* what) {
+[[noreturn]] void throwSystemError(const char* what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
 std::uint64_t tagOf(int fd, std::uint32_t generation) {
-  return (static_cast<std::uint64_t>(generation) << 32) | static_cast<std::uint32_t>(fd);
+  return (static_cast<std::uint64_t>(generation) << kGenerationShift) | static_cast<std::uint32_t>(fd);
 }
 }  // namespace
 
 Loop::Loop(Clock clock) : clock_(std::move(clock)), epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(clock_()) {
-  if (epoll_ < 0) systemFault("epoll_create1");
+  if (epoll_ < 0) throwSystemError("epoll_create1");
   wakeupFd_ = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
   if (wakeupFd_ < 0) {
-    const int fault = errno;
+    const int error = errno;
     close(epoll_);
-    throw std::system_error(fault, std::generic_category(), "eventfd");
+    throw std::system_error(error, std::generic_category(), "eventfd");
   }
   if (!registerWithKernel(wakeupFd_, 0)) retryWatchLater(wakeupFd_, 0);
 }
@@ -65,21 +67,21 @@
   if (!registerWithKernel(fd, generation)) retryWatchLater(fd, generation);
 }
 
-// False where the kernel lacks the memory, or the user's share of it, for a moment. Whatever the descriptor
-// has become until it is registered is told then: adding it to epoll reports its present state.
+// False where the kernel lacks the memory, or the user's limit is reached, for the moment. Nothing is missed
+// until it is registered: adding a descriptor to epoll reports its present state.
 bool Loop::registerWithKernel(int fd, std::uint32_t generation) {
   epoll_event event{};
   event.events = EPOLLET | (fd == wakeupFd_ ? EPOLLIN : EPOLLIN | EPOLLOUT | EPOLLRDHUP);
   event.data.u64 = tagOf(fd, generation);
   if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) == 0) return true;
-  if (errno != ENOMEM && errno != ENOSPC) systemFault("epoll_ctl");
+  if (errno != ENOMEM && errno != ENOSPC) throwSystemError("epoll_ctl");
   ++failedWatches_;
   return false;
 }
 
 void Loop::retryWatchLater(int fd, std::uint32_t generation) {
   unregistered_.emplace_back(fd, generation);
-  if (unregistered_.size() == 1) runAfter(kWatchAgain, [this] { retryWatches(); });
+  if (unregistered_.size() == 1) runAfter(kWatchRetryDelay, [this] { retryWatches(); });
 }
 
 void Loop::retryWatches() {
@@ -121,42 +123,50 @@
 
 void Loop::run() {
   stopped_ = false;
-  while (!stopped_) runOnce(Duration(60));
+  while (!stopped_) runOnce(kMaxWait);
 }
 
 void Loop::stop() { stopped_ = true; }
 
-int Loop::waitMillis(Duration most) const {
+int Loop::waitMillis(Duration maxWait) const {
   if (!deferred_.empty()) return 0;
-  double wait = most.count();
+  double wait = maxWait.count();
   if (!timers_.empty()) wait = std::min(wait, (timers_.begin()->first.first - clock_()).count());
   return std::max(0, static_cast<int>(std::ceil(wait * 1000)));
 }
 
-bool Loop::runOnce(Duration most) {
+bool Loop::runOnce(Duration maxWait) {
   std::array<epoll_event, 256> events{};
-  const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), waitMillis(most));
-  if (count < 0 && errno != EINTR) systemFault("epoll_wait");
+  const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), waitMillis(maxWait));
+  if (count < 0 && errno != EINTR) throwSystemError("epoll_wait");
   now_ = clock_();
   for (int i = 0; i < count; ++i) {
-    const auto tag = events[static_cast<std::size_t>(i)].data.u64;
-    const auto ready = events[static_cast<std::size_t>(i)].events;
-    const int fd = static_cast<int>(tag & 0xffffffffU);
-    if (fd == wakeupFd_) {
-      std::uint64_t drained = 0;
-      [[maybe_unused]] const auto got = read(wakeupFd_, &drained, sizeof drained);
-      continue;
-    }
-    const auto it = watchers_.find(fd);  // may have been closed, and its number reused, in this iteration
-    if (it == watchers_.end() || it->second.second != static_cast<std::uint32_t>(tag >> 32)) continue;
-    it->second.first->onReady({(ready & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0,
-                               (ready & (EPOLLOUT | EPOLLHUP | EPOLLERR)) != 0,
-                               (ready & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0});
+    const epoll_event& event = events[static_cast<std::size_t>(i)];
+    handleEvent(event.data.u64, event.events);
   }
-  const bool timers = runTimers();
-  const bool tasks = runDeferred();
+  const bool ranTimers = runTimers();
+  const bool ranTasks = runDeferred();
   longestIteration_ = std::max(longestIteration_, clock_() - now_);
-  return count > 0 || timers || tasks;
+  return count > 0 || ranTimers || ranTasks;
+}
+
+void Loop::handleEvent(std::uint64_t tag, std::uint32_t events) {
+  const int fd = static_cast<int>(tag & 0xffffffffU);
+  const auto generation = static_cast<std::uint32_t>(tag >> kGenerationShift);
+  if (fd == wakeupFd_) return drainWakeups();
+  // The descriptor may have been closed, and its number reused, in this iteration.
+  const auto found = watchers_.find(fd);
+  if (found == watchers_.end() || found->second.second != generation) return;
+  Ready ready;
+  ready.readable = (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  ready.writable = (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) != 0;
+  ready.ended = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  found->second.first->onReady(ready);
+}
+
+void Loop::drainWakeups() {
+  std::uint64_t wakeups = 0;
+  [[maybe_unused]] const auto received = read(wakeupFd_, &wakeups, sizeof wakeups);
 }
 
 bool Loop::runTimers() {
--- a/src/net/retry.h
+++ b/src/net/retry.h
@@ -1,4 +1,4 @@
-// Tries again what fails for a moment, before there is a loop that could wait for it.
+// Retries what fails for the moment, before there is a loop that could wait for it.
 #pragma once
 
 #include <thread>
@@ -7,19 +7,19 @@
 
 namespace gannetcourse::net {
 
-// The result of `make`, which is called again after each fault of this type for as long as `within`; then the
-// fault is passed on. Others are passed on at once.
-template <class Fault, class Make>
-auto retryOn(Duration within, const Make& make) -> decltype(make()) {
-  constexpr Duration kPause{0.05};
-  const Instant giveUpAt = monotonicNow() + within;
+/// Returns make(), which is called again after each exception of type `Exception` until `timeout` has passed;
+/// then the exception is passed on. Other exceptions are passed on at once. Blocks its thread.
+template <class Exception, class Make>
+auto retryOn(Duration timeout, const Make& make) -> decltype(make()) {
+  constexpr Duration kRetryDelay{0.05};
+  const Instant giveUpAt = monotonicNow() + timeout;
   for (;;) {
     try {
       return make();
-    } catch (const Fault&) {
+    } catch (const Exception&) {
       if (monotonicNow() >= giveUpAt) throw;
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
