--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -31,7 +31,7 @@
   std::shared_ptr<ClientCall> call() {
     auto started = channel->start("/test.Echo/Say", "hello");
     started->onMessage = [this](std::string_view message) { messages.emplace_back(message); };
-    started->onEnd = [this](const CallEnd& told) { ends.push_back(told); };
+    started->onEnd = [this](const CallEnd& end) { ends.push_back(end); };
     return started;
   }
 
@@ -62,7 +62,7 @@
   std::vector<CallEnd> ends;
 };
 
-TEST_F(ChannelTest, ReadsAnAnswer) {
+TEST_F(ChannelTest, ReadsAResponse) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kStatus);
   EXPECT_EQ(end.status.code, Code::kOk);
@@ -70,7 +70,7 @@
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kOk);
 }
 
-TEST_F(ChannelTest, ReadsATrailersOnlyAnswer) {
+TEST_F(ChannelTest, ReadsATrailersOnlyResponse) {
   const CallEnd end =
       answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1,
                        fields({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
@@ -97,7 +97,7 @@
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kReset);
 }
 
-TEST_F(ChannelTest, AConnectionThatEndsMayHaveRun) {
+TEST_F(ChannelTest, ALostConnectionMayHaveRun) {
   const auto started = call();
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   peer.reset();
@@ -123,7 +123,7 @@
   }));
 }
 
-TEST_F(ChannelTest, AnswersWithoutAStatusAreMalformed) {
+TEST_F(ChannelTest, ResponsesWithoutAStatusAreMalformed) {
   const CallEnd end = answered(head() + frameOf(kData, kEndStream, 1, frame("world")));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kError);
@@ -135,12 +135,12 @@
   EXPECT_EQ(end.status.code, Code::kUnavailable);
 }
 
-TEST_F(ChannelTest, AnAnswerThatEndsInsideAMessageIsMalformed) {
+TEST_F(ChannelTest, AResponseThatEndsInsideAMessageIsMalformed) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
 }
 
-TEST_F(ChannelTest, AnOversizedAnswerIsEnded) {
+TEST_F(ChannelTest, AnOversizedResponseIsEnded) {
   const CallEnd end = answered(head() + frameOf(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_TRUE(until([&] {
@@ -148,10 +148,10 @@
       if (f.type == kReset && f.stream == 1) return true;
     }
     return false;
-  })) << "the server is told";
+  })) << "the server is notified";
 }
 
-TEST_F(ChannelTest, ACancelIsAResetAndItsEndIsToldAtOnce) {
+TEST_F(ChannelTest, ACancelIsAResetAndNotifiesItsEndAtOnce) {
   const auto started = call();
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   started->cancel();
@@ -169,7 +169,7 @@
   EXPECT_EQ(ends.size(), 1u);
 }
 
-TEST_F(ChannelTest, WhatComesForAnEndedStreamIsTold) {
+TEST_F(ChannelTest, AFrameForAnEndedStreamIsReported) {
   int stray = 0;
   channel->onStrayFrame = [&](http2::StreamId) { ++stray; };
   answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0") + trailers("13"));
@@ -177,7 +177,7 @@
   EXPECT_EQ(ends.size(), 1u) << "the first answer stays the only one";
 }
 
-TEST_F(ChannelTest, APausedCallShutsItsWindow) {
+TEST_F(ChannelTest, APausedCallClosesItsWindow) {
   const auto started = call();
   started->pause(true);
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -112,7 +112,7 @@
   EXPECT_EQ(said, std::vector<std::string>{"slowly"});
 }
 
-TEST_F(FrameTest, RefusesFaultsOfTheCallerByStatus) {
+TEST_F(FrameTest, RejectsProtocolErrorsByStatus) {
   struct Case {
     const char* name;
     std::string path, body;
@@ -203,33 +203,33 @@
   EXPECT_TRUE(until([&] { return server.connections() == 0; }));
 }
 
-TEST_F(FrameTest, AResetTellsTheHandler) {
-  std::shared_ptr<ServerCall> held;
+TEST_F(FrameTest, AResetNotifiesTheHandler) {
+  std::shared_ptr<ServerCall> received;
   bool cancelled = false;
   server.handle("/test.Echo/Say", [&](const std::shared_ptr<ServerCall>& call, std::string_view) {
-    held = call;
+    received = call;
     call->onCancelled = [&] { cancelled = true; };
   });
   raw->write(kPreface + request(1, frame("x")));
-  ASSERT_TRUE(until([&] { return held != nullptr; }));
+  ASSERT_TRUE(until([&] { return received != nullptr; }));
   raw->write(frameOf(kReset, 0, 1, number(http2::kCancel, 4)));
   EXPECT_TRUE(until([&] { return cancelled; }));
-  EXPECT_FALSE(held->isOpen());
-  held->send("into the void");
-  held->finish({});
+  EXPECT_FALSE(received->isOpen());
+  received->send("into the void");
+  received->finish({});
 }
 
 TEST_F(FrameTest, APeerThatVanishesWithoutAFinIsFoundByItsReset) {
-  std::shared_ptr<ServerCall> held;
+  std::shared_ptr<ServerCall> received;
   bool cancelled = false;
   server.handle("/test.Echo/Say", [&](const std::shared_ptr<ServerCall>& call, std::string_view) {
-    held = call;
+    received = call;
     call->onCancelled = [&] { cancelled = true; };
   });
   raw->write(kPreface + request(1, frame("x")));
-  ASSERT_TRUE(until([&] { return held != nullptr; }));
+  ASSERT_TRUE(until([&] { return received != nullptr; }));
   raw.reset();  // unread bytes are there: the kernel sends a RST, no FIN
-  held->send("hello");
+  received->send("hello");
   EXPECT_TRUE(until([&] { return cancelled; }));
 }
 
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 out of bytes: whole, byte by byte, and what must not be read.
+// HTTP/1.1 out of bytes: complete, byte by byte, and what must be rejected.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -20,7 +20,7 @@
   return state;
 }
 
-TEST(RequestParser, ReadsARequestHoweverItIsCut) {
+TEST(RequestParser, ParsesARequestHoweverItIsSplit) {
   for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kGood.size()}) {
     RequestParser parser{Limits{}};
     ASSERT_EQ(parseAll(parser, kGood, step), ParseState::kComplete);
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(RequestParser, ReadsWhatWaitsBehindARequestAsTheNext) {
+TEST(RequestParser, ParsesAPipelinedRequestAsTheNext) {
   RequestParser parser{Limits{}};
   ASSERT_TRUE(parser.append(kGood + "GET /-/ready HTTP/1.1\r\n\r\n"));
   ASSERT_EQ(parser.parse(), ParseState::kComplete);
@@ -45,7 +45,7 @@
   EXPECT_FALSE(parser.started());
 }
 
-TEST(RequestParser, RefusesLengthsThatMayHideARequest) {
+TEST(RequestParser, RejectsLengthsThatMayHideARequest) {
   const std::string start = "POST / HTTP/1.1\r\n";
   for (const char* const fields :
        {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(RequestParser, BoundsHeadsBodiesAndWhatWaits) {
+TEST(RequestParser, LimitsHeadsBodiesAndPipelinedBytes) {
   Limits limits;
   limits.maxHeadBytes = 256;
   limits.maxBodyBytes = 100;
@@ -78,54 +78,54 @@
       std::string(limits.maxHeadBytes + limits.maxBodyBytes + limits.maxPipelinedBytes + 1, 'x')));
 }
 
-struct Answer {
+struct ParsedResponse {
   int status = 0;
   std::string body;
   ParseState state = ParseState::kNeedMore;
 };
 
-Answer answerOf(const std::string& bytes, std::size_t step, bool* reusable = nullptr) {
-  Answer answer;
-  ResponseParser parser(Limits{}, {[&](const ResponseHead& head) { answer.status = head.status; },
-                                   [&](std::string_view body) { answer.body += body; }});
-  for (std::size_t i = 0; i < bytes.size() && answer.state == ParseState::kNeedMore; i += step)
-    answer.state = parser.consume(std::string_view(bytes).substr(i, step));
+ParsedResponse responseOf(const std::string& bytes, std::size_t step, bool* reusable = nullptr) {
+  ParsedResponse response;
+  ResponseParser parser(Limits{}, {[&](const ResponseHead& head) { response.status = head.status; },
+                                   [&](std::string_view body) { response.body += body; }});
+  for (std::size_t i = 0; i < bytes.size() && response.state == ParseState::kNeedMore; i += step)
+    response.state = parser.consume(std::string_view(bytes).substr(i, step));
   if (reusable != nullptr) *reusable = parser.isConnectionReusable();
-  return answer;
+  return response;
 }
 
 const std::string kStream = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
-TEST(ResponseParser, AChunkedAnswerIsReusableHoweverItIsCut) {
+TEST(ResponseParser, AChunkedResponseIsReusableHoweverItIsSplit) {
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kStream.size()}) {
     bool reusable = false;
-    const Answer answer = answerOf(kStream, step, &reusable);
-    EXPECT_EQ(answer.state, ParseState::kComplete);
-    EXPECT_EQ(answer.body, "hello");
+    const ParsedResponse response = responseOf(kStream, step, &reusable);
+    EXPECT_EQ(response.state, ParseState::kComplete);
+    EXPECT_EQ(response.body, "hello");
     EXPECT_TRUE(reusable) << step;
   }
 }
 
-TEST(ResponseParser, PassesOverInformationalAnswersAndDistrustsWhatComesBehind) {
+TEST(ResponseParser, SkipsInformationalResponsesAndDistrustsTrailingBytes) {
   bool reusable = true;
   const std::string ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-  const Answer answer = answerOf(ahead + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
-  EXPECT_EQ(answer.state, ParseState::kComplete);
-  EXPECT_EQ(answer.status, 200);
-  EXPECT_EQ(answer.body, "hello");
+  const ParsedResponse response = responseOf(ahead + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
+  EXPECT_EQ(response.state, ParseState::kComplete);
+  EXPECT_EQ(response.status, 200);
+  EXPECT_EQ(response.body, "hello");
   EXPECT_FALSE(reusable);
 }
 
-TEST(ResponseParser, KnowsAnAnswerThatCannotBeRead) {
+TEST(ResponseParser, DetectsAMalformedResponse) {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& bytes :
        {std::string("\x01\x02noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(40000, 'y'),
         head + "zz\r\nhello\r\n", head + "3\r\nhello\r\n0\r\n\r\n", head + "BB8F1C80\r\nhello"}) {
-    EXPECT_EQ(answerOf(bytes, 100).state, ParseState::kMalformed) << bytes.substr(0, 80);
+    EXPECT_EQ(responseOf(bytes, 100).state, ParseState::kMalformed) << bytes.substr(0, 80);
   }
 }
 
-TEST(ResponseParser, IsMidwayInsideAHeadOrAChunkOnly) {
+TEST(ResponseParser, IsInsideAPartWithinAHeadOrChunkOnly) {
   bool headSeen = false;
   ResponseParser parser(Limits{}, {[&](const ResponseHead&) { headSeen = true; }, [](std::string_view) {}});
   EXPECT_FALSE(parser.isInsidePart());
@@ -153,16 +153,16 @@
 // Nothing but the sanitizers and the bounds is asserted: bytes of all kinds end in one of the three states.
 TEST(Parsers, SurviveRandomBytes) {
   std::mt19937 random(17);
-  int bad = 0;
+  int malformed = 0;
   for (int round = 0; round < 3000; ++round) {
     std::string bytes = round % 2 == 0 ? kGood : kStream;
     for (int i = 0; i < 1 + round % 4; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     const std::size_t step = 1 + random() % 20;
     RequestParser request{Limits{}};
-    bad += parseAll(request, bytes, step) == ParseState::kMalformed;
-    bad += answerOf(bytes, step).state == ParseState::kMalformed;
+    malformed += parseAll(request, bytes, step) == ParseState::kMalformed;
+    malformed += responseOf(bytes, step).state == ParseState::kMalformed;
   }
-  EXPECT_GT(bad, 3000);  // each text is at least no message of the other kind
+  EXPECT_GT(malformed, 3000);  // each text is at least no message of the other kind
 }
 
 }  // namespace
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -15,7 +15,7 @@
   EXPECT_NEAR(parseTimeout("1n")->count(), 1e-9, 1e-15);
 }
 
-TEST(Timeout, RefusesWhatIsMalformed) {
+TEST(Timeout, RejectsMalformedText) {
   for (const char* text : {"", "S", "15", "1.5S", "-1S", "123456789S", "1x", " 1S", "1 S"})
     EXPECT_FALSE(parseTimeout(text)) << text;
 }
@@ -29,7 +29,7 @@
   }
 }
 
-TEST(PercentEncoding, GoesBothWays) {
+TEST(PercentEncoding, RoundTrips) {
   const std::string text = "100% of \xc3\xa9t\xc3\xa9\nnext";
   EXPECT_EQ(percentEncode(text), "100%25 of %C3%A9t%C3%A9%0Anext");
   EXPECT_EQ(percentDecode(percentEncode(text)), text);
@@ -37,7 +37,7 @@
   EXPECT_EQ(percentDecode("%zz%2"), "%zz%2");
 }
 
-TEST(MessageReader, CutsOneByteWrites) {
+TEST(MessageReader, SplitsOneByteWrites) {
   const std::string bytes = frame("first") + frame("") + frame(std::string(70000, 'x'));
   MessageReader reader(100000);
   std::vector<std::size_t> sizes;
@@ -50,8 +50,8 @@
 }
 
 TEST(MessageReader, StopsAtFaults) {
-  const auto faultOf = [](std::string bytes, std::size_t most = 100) {
-    MessageReader reader(most);
+  const auto faultOf = [](const std::string& bytes, std::size_t maxMessageBytes = 100) {
+    MessageReader reader(maxMessageBytes);
     reader.add(bytes);
     EXPECT_FALSE(reader.next());
     reader.add(frame("good"));
