--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -41,7 +41,7 @@
 };
 
 // ---- A client that has gone ----
-TEST_F(EdgesTest, GoneWhileItsRequestWaitsForAPick) {
+TEST_F(EdgesTest, DisconnectsWhileItsRequestWaitsForASelection) {
   startWith("draining", "up");
   const auto peer = sendFromNewClient(chatRequest("waits", "", "pay", "9000"));
   ASSERT_TRUE(runUntil([&] { return node->core().openRequests() == 1; }));
@@ -52,7 +52,7 @@
   EXPECT_EQ(attempts(prefillEngine), 0U);
 }
 
-TEST_F(EdgesTest, GoneWhileAReadIsOut) {
+TEST_F(EdgesTest, DisconnectsWhileAPrefillIsInFlight) {
   prefillEngine.script = hold;
   startNode();
   for (const bool reset : {false, true}) {
@@ -70,7 +70,7 @@
   EXPECT_EQ(attempts(decodeEngine), 0U);
 }
 
-TEST_F(EdgesTest, GoneBetweenReadAndWrite) {
+TEST_F(EdgesTest, DisconnectsBetweenPrefillAndDecode) {
   Peer* readingAt = nullptr;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) readingAt = &peer;
@@ -94,7 +94,7 @@
   EXPECT_EQ(attempts(decodeEngine), 0U);
 }
 
-TEST_F(EdgesTest, GoneAfterAnAttemptHasFailed) {
+TEST_F(EdgesTest, DisconnectsAfterAnAttemptHasFailed) {
   int asked = 0;
   std::shared_ptr<Peer> peer;
   prefillEngine.script = [&](Peer& p, const http1::Request& r) {
@@ -112,7 +112,7 @@
   EXPECT_EQ(asked, then);  // nothing begins later
 }
 
-TEST_F(EdgesTest, GoneWithRequestsAheadThatWereNotRead) {
+TEST_F(EdgesTest, DisconnectsWithPipelinedRequestsThatWereNotRead) {
   prefillEngine.script = hold;
   startNode();
   const std::string big(200 * 1024, 'x');  // more than the node keeps behind a request: it stops reading
@@ -127,7 +127,7 @@
   EXPECT_EQ(attempts(prefillEngine), 1U);
 }
 
-TEST_F(EdgesTest, GoneWhileItTakesNothing) {
+TEST_F(EdgesTest, DisconnectsWhileItReadsNothing) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (answerRelease(peer, request)) return;
     std::string stream = kStreamHead;
@@ -144,7 +144,7 @@
   EXPECT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
 }
 
-TEST_F(EdgesTest, WhoAsksAndGoesAtOnceIsNotSentOn) {
+TEST_F(EdgesTest, ARequestWhoseClientDisconnectsAtOnceIsNotForwarded) {
   startWith("draining", "up");
   const auto peer = client();
   ASSERT_TRUE(runUntil(
@@ -155,7 +155,7 @@
   EXPECT_EQ(node->core().counters().accepted, 0U);
 }
 
-TEST_F(EdgesTest, AClientThatEndsItsSendingHasLeft) {
+TEST_F(EdgesTest, AClientThatHalfClosesHasDisconnected) {
   prefillEngine.script = hold;
   startNode();
   const auto peer = sendFromNewClient(chatRequest("half"));
@@ -167,7 +167,7 @@
 }
 
 // ---- The moment of a close ----
-TEST_F(EdgesTest, ALastAnswerIsNotEatenByWhatIsStillSent) {
+TEST_F(EdgesTest, ALastResponseSurvivesWhatIsStillSent) {
   startNode();
   const auto peer =
       sendFromNewClient("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
@@ -177,7 +177,7 @@
   EXPECT_TRUE(peer->hasReceived("\r\n\r\nthe request cannot be read"));
 }
 
-TEST_F(EdgesTest, ARequestThatCrossesTheEndOfARestingConnectionIsNotSentOn) {
+TEST_F(EdgesTest, ARequestThatCrossesTheCloseOfAnIdleConnectionIsNotForwarded) {
   startNode();
   const auto peer = sendFromNewClient(chatRequest("one"));
   ASSERT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
@@ -253,7 +253,7 @@
 }
 
 // ---- Forms ----
-TEST_F(EdgesTest, ManyCommandsAtOnceAreAnsweredInOrder) {
+TEST_F(EdgesTest, PipelinedRequestsAreAnsweredInOrder) {
   startNode();
   std::string all;
   constexpr int kCommands = 120;
@@ -352,11 +352,12 @@
   for (const int fd : accepted) close(fd);
 }
 
-TEST_F(EdgesTest, ACrowdWhileDiscoveryIsAwayLeavesRoomForAllThatServes) {
+TEST_F(EdgesTest, ManyConnectionsWhileDiscoveryIsUnreachableLeaveCapacityForServing) {
   sockets = 96;
   discovery.script = [](Peer& peer, const http1::Request&) { peer.connection.abort(); };
   startNode();
   std::vector<std::shared_ptr<Peer>> crowd;
+  crowd.reserve(150);
   for (int i = 0; i < 150; ++i) crowd.push_back(client());
   runFor(0.3);
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("served"))), 200);
@@ -366,7 +367,7 @@
 }
 
 // ---- Attempts ----
-TEST_F(EdgesTest, EachAttemptTellsWhatIsLeftToTheClient) {
+TEST_F(EdgesTest, EachAttemptStatesTheRemainingBudget) {
   int reads = 0;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
     if (answerRelease(peer, request)) return;
@@ -387,7 +388,7 @@
   EXPECT_LE(std::stoi(*decodeEngine.requests.front().fields.find("X-Budget-Ms")), told[1]);
 }
 
-TEST_F(EdgesTest, WhatWasNeverSentOnIsRefusedNotFailed) {
+TEST_F(EdgesTest, WhatWasNeverForwardedIsRejectedNotFailed) {
   startWith("draining", "draining");
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("a", "", "chat", "200"))), 503);
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("b", "", "pay", "200"))), 503);
--- /dev/null
+++ b/tests/engine_client_test.cpp
@@ -0,0 +1,176 @@
+// The engine client of a node: attempts that fail, responses that are malformed, states that are released.
+#include "platform_fixture.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+using namespace test;
+
+class EngineClientTest : public PlatformTest {};
+
+TEST_F(EngineClientTest, AnAttemptThatFailsBeforeItsFirstEventIsFollowedByAnother) {
+  const std::vector<std::string> bad = {"HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n",
+                                        "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+                                        "HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+                                        "noise\r\n\r\n",
+                                        kStreamHead + "zz\r\n",
+                                        kStreamHead + chunkOf("no event\n\n"),
+                                        kStreamHead + "BB8F1C80\r\ndata: x"};
+  for (const std::string& answer : bad) {
+    bool failed = false;
+    decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
+      if (answerRelease(peer, request)) return;
+      peer.send(std::exchange(failed, true) ? completeStream() : answer);
+    };
+    startNode();
+    const auto peer = sendFromNewClient(chatRequest("again"));
+    EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); })) << answer;
+    EXPECT_EQ(statusOf(peer), 200);
+    EXPECT_GE(node->core().counters().attempts, 3U);
+    node.reset();
+  }
+}
+
+TEST_F(EngineClientTest, AnAtMostOnceRequestWhoseResponseIsMalformedIsNotRetried) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) peer.send("noise\r\n\r\n");
+  };
+  startNode();
+  EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("once", "", "pay"))), 502);
+  EXPECT_EQ(decodeEngine.count("POST", "/v1/chat/completions?x=1"), 1U);
+}
+
+TEST_F(EngineClientTest, AStreamThatTurnsMalformedEndsTheClientsConnectionWithoutTheLastChunk) {
+  const std::vector<std::string> spoilt = {
+      "zz\r\n",    "2\r\ndata: b\n\n\r\n",   "BB8F1C80\r\ndata: x", chunkOf("noise\n\n"),
+      "0\r\n\r\n", "ff\r\ndata: never whole"};
+  for (const std::string& rest : spoilt) {
+    decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
+      if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")) + rest);
+    };
+    startNode();
+    const auto peer = sendFromNewClient(chatRequest("spoilt"));
+    EXPECT_TRUE(runUntil([&] { return peer->closed; })) << rest;
+    EXPECT_TRUE(peer->hasReceived("\"a\""));
+    EXPECT_FALSE(peer->hasReceived("\r\n0\r\n\r\n")) << rest;
+    EXPECT_TRUE(runUntil([&] { return decodeEngine.peers.back()->closed; }));
+    node.reset();
+  }
+}
+
+TEST_F(EngineClientTest, WhatComesBesideAValidStreamIsHarmless) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
+    peer.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kStreamHead + chunkOf(eventOf("a") + kDone) +
+              chunkOf(": X-Load-Report: TEXT x0=?, =\n") + "0\r\n\r\n" + "HTTP/1.1 200 OK\r\n\r\n");
+  };
+  startNode();
+  for (const char* const id : {"one", "two"}) {
+    const auto peer = sendFromNewClient(chatRequest(id));
+    ASSERT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
+    EXPECT_FALSE(peer->hasReceived("X-Load-Report"));
+  }
+  EXPECT_EQ(decodeEngine.peers.size(), 2U);  // the first connection is not used again
+}
+
+TEST_F(EngineClientTest, AClientThatDisconnectsEndsItsAttemptAndItsStateIsReleased) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    answerRelease(peer, request);
+  };  // never answers
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("left"));
+  ASSERT_TRUE(runUntil([&] { return decodeEngine.requests.size() == 1; }));
+  peer->connection.close();
+  EXPECT_TRUE(runUntil([&] {
+    return prefillEngine.count("DELETE", "/kv/leases/left") +
+               decodeEngine.count("DELETE", "/kv/leases/left") ==
+           1;
+  }));
+  EXPECT_TRUE(runUntil(
+      [&] { return decodeEngine.peers.front()->closed && node->engineClient().openCallCount() == 0; }));
+  EXPECT_TRUE(runUntil(
+      [&] { return node->core().pendingObligations() == 0 && node->engineClient().auxiliaryCalls() == 0; }));
+}
+
+TEST_F(EngineClientTest, APrefillWhoseConnectionBreaksIsReleased) {
+  int reads = 0;
+  prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
+    if (++reads > 1) return answerPrefill(peer, request);
+    peer.connection.close();
+  };
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("broken"));
+  EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
+  EXPECT_TRUE(runUntil([&] {
+    return prefillEngine.count("DELETE", "/kv/leases/broken") +
+               decodeEngine.count("DELETE", "/kv/leases/broken") ==
+           1;
+  }));
+}
+
+// A success that is not the read's own has still run: what it has left is let go of.
+TEST_F(EngineClientTest, APrefillThatEndsWithAnotherSuccessIsReleased) {
+  int reads = 0;
+  prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
+    if (answerRelease(peer, request)) return;
+    if (++reads > 1) return answerPrefill(peer, request);
+    peer.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
+  };
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("other"));
+  EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
+  const auto releases = [&] {
+    return prefillEngine.count("DELETE", "/kv/leases/other") +
+           decodeEngine.count("DELETE", "/kv/leases/other");
+  };
+  runFor(0.2);
+  EXPECT_GE(releases(), 1U);
+}
+
+TEST_F(EngineClientTest, TheDeadlineStopsWithTheFirstEvent) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
+  };
+  startNode();
+  const auto peer = sendFromNewClient(chatRequest("long", "", "chat", "300"));
+  ASSERT_TRUE(runUntil([&] { return peer->hasReceived("\"a\""); }));
+  runFor(0.6);
+  EXPECT_FALSE(peer->closed);
+  decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
+  EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
+}
+
+TEST_F(EngineClientTest, NothingInTimeIsOneFinalAnswerBeforeItsDeadline) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) { answerRelease(peer, request); };
+  startNode();
+  const Instant from = net::monotonicNow();
+  const auto peer = sendFromNewClient(chatRequest("late", "", "chat", "900"));
+  const int status = statusOf(peer);
+  EXPECT_TRUE(status == 502 || status == 503 || status == 504) << status;
+  EXPECT_LT(net::monotonicNow() - from, Duration(kTimeoutSeconds));
+  EXPECT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
+}
+
+TEST_F(EngineClientTest, TheModulesCountsMatchTheOpenSockets) {
+  decodeEngine.script = [](Peer& peer, const http1::Request& request) {
+    if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
+  };
+  startNode();
+  std::vector<std::shared_ptr<Peer>> peers;
+  peers.reserve(12);
+  for (int i = 0; i < 12; ++i) peers.push_back(sendFromNewClient(chatRequest("b" + std::to_string(i))));
+  ASSERT_TRUE(runUntil([&] { return decodeEngine.requests.size() == 12; }));
+  ASSERT_TRUE(runUntil([&] {
+    return std::all_of(peers.begin(), peers.end(), [](const auto& p) { return p->hasReceived("\"a\""); });
+  }));
+  EXPECT_EQ(node->core().openRequests(), 12U);
+  EXPECT_EQ(node->engineClient().openCallsByEngine().at(engineIdOf("w1")), 12U);
+  for (std::size_t i = 0; i < 6; ++i) peers[i]->connection.close();
+  EXPECT_TRUE(runUntil(
+      [&] { return node->core().pendingObligations() == 6 && node->engineClient().openCallCount() == 6; }));
+  EXPECT_EQ(node->core().counters().actionsBlocked, 0U);
+}
+
+}  // namespace
+}  // namespace gannetcourse::platform
--- /dev/null
+++ b/tests/engine_endings_test.cpp
@@ -0,0 +1,220 @@
+// Engines that fall silent, drain, are removed or killed: releases, unsent calls and budgets. In stepped
+// time.
+#include <fcntl.h>
+
+#include "endings_fixture.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+using namespace test;
+
+class EngineEndingsTest : public EndingsTest {};
+
+// All connections are taken at the moment of the release: it is not given up for that.
+TEST_F(EngineEndingsTest, AReleaseWaitsForAConnectionWhereNoneMayBeOpened) {
+  sockets = 64;  // 18 connections to engines, 17 open requests
+  prefillEngine.script = leaveUnanswered;
+  startNode();
+  std::vector<std::shared_ptr<Peer>> peers;
+  peers.reserve(17);
+  for (int i = 0; i < 17; ++i) peers.push_back(sendFromNewClient(chatRequest("r" + std::to_string(i))));
+  advance(0.2);
+  ASSERT_GE(attemptCount(prefillEngine), 8U);
+  const std::vector<http1::Request> sent = prefillEngine.requests;
+  for (const auto& peer : peers) peer->connection.close();  // more leave at once than connections are free
+  EXPECT_TRUE(happensWithin(3, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
+  for (const auto& request : sent) {
+    const std::string id = *request.fields.find("X-Call-Id");
+    EXPECT_GE(releaseCount(id), 1U) << id;
+  }
+}
+
+TEST_F(EngineEndingsTest, AReleaseThatNoConnectionCouldBeOpenedForIsSentOnceOneIsFree) {
+  net::Loop& on = loop;
+  http1::ClientOptions options;
+  options.maxConnections = 1;
+  IgnoringEventHandler sink;
+  EngineClient engines(on, options, sink);
+  const Configuration c = configurationOf(configurationJson());
+  engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
+  prefillEngine.script = leaveUnanswered;
+  auto work = std::make_shared<router::RequestPayload>();
+  work->target = "/v1/chat/completions?x=1";
+  work->prompt = "{}";
+  engines.start(router::StartPrefill{1, 1, "taken", 0, engineIdOf("r1"), Duration(4), Duration(4), work});
+  runUntilIdle();
+  engines.releaseState(router::ReleaseState{"later", 0, engineIdOf("r1")});
+  advance(1);
+  EXPECT_EQ(releaseCount("later"), 0U);
+  EXPECT_EQ(engines.auxiliaryCalls(), 1U);
+  engines.cancelCall(1);
+  advance(0.2);
+  EXPECT_EQ(releaseCount("later"), 1U);
+  EXPECT_EQ(engines.auxiliaryCalls(), 0U);
+}
+
+// Most engines fall silent together, their connections stay open: a release reaches one that runs in time.
+TEST_F(EngineEndingsTest, AReleaseFindsAnEngineThatRunsWhereMostHaveFallenSilent) {
+  const auto silent = [](Peer&, const http1::Request&) {};
+  std::list<ScriptedServer> others;
+  std::vector<Json> engines = {engineJson("r1", "prefill", prefillEngine.address()),
+                               engineJson("w1", "decode", decodeEngine.address())};
+  for (int i = 0; i < 6; ++i) {
+    others.emplace_back(loop, [](Peer& p, const http1::Request& r) { answerPrefill(p, r); });
+    engines.push_back(engineJson("r" + std::to_string(i + 2), "prefill", others.back().address()));
+  }
+  startNode([&](Json& json) {
+    json["known"] = engineListJson(7, true, engines);
+    json["settings"]["familyInfo"]["pinLimitS"] = 0.4;
+  });
+  // All have been used and keep an idle connection.
+  for (int i = 0; i < 40; ++i) {
+    std::string request = chatRequest("warm" + std::to_string(i));
+    request.replace(request.find("7f3a9c21"), 8, "7f3a9c" + std::to_string(10 + i));
+    const auto peer = sendFromNewClient(request);
+    ASSERT_TRUE(happensWithin(2, [&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
+  }
+  advance(0.1);
+  prefillEngine.script = silent;
+  for (ScriptedServer& other : others) other.script = silent;
+  for (int i = 0; i < 4; ++i) {
+    const std::string id = "gone" + std::to_string(i);
+    const auto peer = sendFromNewClient(chatRequest(id));
+    advance(0.1);
+    peer->connection.close();
+    EXPECT_TRUE(happensWithin(0.7, [&] { return decodeEngine.count("DELETE", "/kv/leases/" + id) == 1; }))
+        << id;
+  }
+}
+
+TEST_F(EngineEndingsTest, WhatWaitsForAConnectionToAnEngineThatDrainsIsNotSentThere) {
+  UnresponsivePort slow;
+  startNode([&](Json& json) {
+    json["known"]["endpoints"][0]["address"] = slow.address();
+    json["settings"]["limits"]["connectTimeoutS"] = 2.0;
+  });
+  runUntilIdle();
+  const auto peer = sendFromNewClient(chatRequest("crosses", "", "pay", "9000"));
+  ASSERT_TRUE(happensWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
+  openWatch()->send(chunkOf(engineListJson(8, false,
+                                           {engineJson("r1", "prefill", slow.address(), "draining"),
+                                            engineJson("r2", "prefill", prefillEngine.address(), "up")})
+                                .dump() +
+                            "\n"));
+  advance(0.1);
+  EXPECT_EQ(statusOf(peer), 200);  // by the other reader, well before the connection would have been given up
+  EXPECT_EQ(attemptCount(prefillEngine), 1U);
+}
+
+TEST_F(EngineEndingsTest, ADrainWithoutAnAddressIsADrain) {
+  startNode();
+  runUntilIdle();
+  Json entry = engineJson("r1", "prefill", "", "draining");
+  entry.erase("address");
+  openWatch()->send(chunkOf(engineListJson(8, false, {entry}).dump() + "\n"));
+  runUntilIdle();
+  const auto peer = sendFromNewClient(chatRequest("nowhere", "", "chat", "300"));
+  advance(0.5);
+  EXPECT_EQ(statusOf(peer), 503);
+  EXPECT_EQ(attemptCount(prefillEngine), 0U);
+}
+
+TEST_F(EngineEndingsTest, AnObjectThatCannotBeReadMakesTheNodeRequestASnapshot) {
+  for (const char* const object : {"{\"index\": 8, ]}", "{\"index\": \"eight\"}"}) {
+    discovery.requests.clear();
+    startNode();
+    runUntilIdle();
+    openWatch()->send(chunkOf(std::string(object) + "\n"));
+    EXPECT_TRUE(happensWithin(1, [&] { return discovery.count("GET", "/api/targets?watch=1&from=0") == 1; }));
+    node.reset();
+    runUntilIdle();
+  }
+}
+
+// The engine's machine has taken the connection and all bytes of the request; its process is killed then.
+TEST_F(EngineEndingsTest, AnAcceptThenAResetMayHaveRun) {
+  RawSocket listener;
+  const std::uint16_t port = listenOnLoopback(listener, 8);
+  startNode(
+      [&](Json& json) { json["known"]["endpoints"][1]["address"] = "127.0.0.1:" + std::to_string(port); });
+  const auto peer = sendFromNewClient(chatRequest("once", "", "pay", "3000"));
+  advance(0.1);
+  RawSocket taken(::accept(listener.fd(), nullptr, nullptr));
+  EXPECT_NE(taken.receive().find("X-Call-Id: once"), std::string::npos);
+  taken.reset();
+  EXPECT_TRUE(happensWithin(4, [&] { return peer->hasReceived("HTTP/1.1"); }));
+  EXPECT_EQ(statusOf(peer), 502);  // at most once: it may have run, so it is neither sent again nor refused
+  advance(1);
+  fcntl(listener.fd(), F_SETFL, O_NONBLOCK);
+  EXPECT_LT(::accept(listener.fd(), nullptr, nullptr), 0) << "no other connection was made";
+}
+
+TEST_F(EngineEndingsTest, AnAttemptStatesTheBudgetAtItsConnect) {
+  RawSocket listener;
+  sockaddr_in address = RawSocket::loopback(0);
+  socklen_t size = sizeof address;
+  ASSERT_EQ(::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
+  getsockname(listener.fd(), reinterpret_cast<sockaddr*>(&address), &size);
+  // The call is begun, and the loop hears that its connection stands only after some time has gone by.
+  std::string told;
+  struct Sink final : http1::ResponseHandler {
+    void onHead(const http1::ResponseHead&) override {}
+    void onBody(std::string_view) override {}
+    void onEnd(http1::CallResult, const std::string&) override {}
+  };
+  http1::Client calls(loop, {});
+  const Instant until = now() + Duration(1);
+  calls.start(
+      {"127.0.0.1", prefillEngine.listener.port()},
+      [&] {
+        told = std::to_string(std::lround((until - loop.now()).count() * 1000));
+        return "POST /x HTTP/1.1\r\nX-Budget-Ms: " + told + "\r\nContent-Length: 0\r\n\r\n";
+      },
+      nullptr, std::make_shared<Sink>());
+  EXPECT_EQ(told, "");
+  advance(0.005);
+  EXPECT_EQ(told, "995");
+}
+
+// What an engine is told is true at the write, not at the start of the iteration that came to it.
+TEST_F(EngineEndingsTest, AStatedBudgetCountsTheTimeOfTheIteration) {
+  IgnoringEventHandler sink;
+  EngineClient engines(loop, {}, sink);
+  const Configuration c = configurationOf(configurationJson());
+  engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
+  auto work = std::make_shared<router::RequestPayload>();
+  work->target = "/v1/chat/completions?x=1";
+  work->prompt = "{}";
+  engines.start(router::StartPrefill{1, 1, "opens", 0, engineIdOf("r1"), Duration(2), Duration(2), work});
+  advance(0.2);  // its connection may be used again
+  loop.defer([&] {
+    stall(0.4);
+    engines.start(router::StartPrefill{2, 2, "held-up", 0, engineIdOf("r1"), Duration(2), Duration(2), work});
+  });
+  runUntilIdle();
+  EXPECT_EQ(prefillEngine.peers.size(), 1U);
+  ASSERT_EQ(budgets(prefillEngine).size(), 2U);
+  EXPECT_LE(budgets(prefillEngine)[1], 1600);
+}
+
+// A replacement may come up where the engine that it replaces has been.
+TEST_F(EngineEndingsTest, ConnectionsToAnAddressThatAnotherEngineTookOverAreKept) {
+  startNode();
+  runUntilIdle();
+  openWatch()->send(chunkOf(engineListJson(8, false,
+                                           {engineJson("r2", "prefill", prefillEngine.address()),
+                                            engineJson("r1", "prefill", prefillEngine.address(), "removed")})
+                                .dump() +
+                            "\n"));
+  runUntilIdle();
+  for (int i = 0; i < 4; ++i) {
+    const auto peer = sendFromNewClient(chatRequest("again-" + std::to_string(i)));
+    ASSERT_TRUE(happensWithin(1, [&] { return peer->hasReceived("0\r\n\r\n"); }));
+    advance(0.2);
+  }
+  EXPECT_EQ(prefillEngine.peers.size(), 1U);
+}
+
+}  // namespace
+}  // namespace gannetcourse::platform
--- /dev/null
+++ b/tests/engine_list_message_test.cpp
@@ -0,0 +1,91 @@
+// Messages of discovery: objects out of bytes, entries that are malformed, lists that are older.
+#include "platform/engine_list_message.h"
+
+#include <random>
+
+#include "platform/json_stream_splitter.h"
+#include "platform_fixture.h"
+
+namespace gannetcourse::platform {
+namespace {
+
+using namespace test;
+
+std::vector<std::string> split(const std::string& bytes, std::size_t step) {
+  JsonStreamSplitter splitter;
+  std::vector<std::string> objects;
+  for (std::size_t i = 0; i < bytes.size(); i += step)
+    splitter.feed(std::string_view(bytes).substr(i, step),
+                  [&](std::string o) { objects.push_back(std::move(o)); });
+  return objects;
+}
+
+TEST(JsonStreamSplitter, FindsObjectsHoweverTheyAreLaidOut) {
+  const Json list = engineListJson(
+      41, true, {engineJson("a{\"]}\\", "prefill", "10.0.0.1:1"), engineJson("b", "decode", "1.2.3.4:5")});
+  const std::string bytes =
+      list.dump() + "\n\n" + list.dump(2) + "\n" + list.dump(-1) + list.dump(1) + "\r\n\r\n";
+  for (const std::size_t step : {std::size_t{1}, std::size_t{7}, bytes.size()}) {
+    const auto objects = split(bytes, step);
+    ASSERT_EQ(objects.size(), 4U);
+    for (const auto& text : objects) EXPECT_EQ(Json::parse(text), list);
+  }
+}
+
+TEST(JsonStreamSplitter, AnEmptyLineProvesLivenessAndHalfAnObjectDoesNot) {
+  JsonStreamSplitter splitter;
+  const auto none = [](const std::string&) { FAIL(); };
+  EXPECT_TRUE(splitter.feed("\n", none));
+  EXPECT_FALSE(splitter.feed("  ", none));
+  EXPECT_FALSE(splitter.feed("{\"index\": 3,\n \"endpoints\": [\n", none));
+  EXPECT_FALSE(splitter.feed("\n\n", none));
+  int told = 0;
+  EXPECT_TRUE(splitter.feed("]}", [&](const std::string&) { ++told; }));
+  EXPECT_EQ(told, 1);
+}
+
+TEST(JsonStreamSplitter, SurvivesRandomBytes) {
+  std::mt19937 random(3);
+  JsonStreamSplitter splitter;
+  for (int i = 0; i < 2000; ++i) {
+    std::string bytes;
+    for (std::size_t n = random() % 40; n > 0; --n) bytes.push_back("{}[]\"\\\n a"[random() % 9]);
+    splitter.feed(bytes, [](const std::string& object) { EXPECT_EQ(object.front(), '{'); });
+  }
+}
+
+TEST(ParseEngineListMessage, ADrainOrRemovalCountsWhateverElseItsEntrySays) {
+  const Json bad = {{"group", -3},   {"address", 7},    {"type", Json::array()},
+                    {"zone", false}, {"since_ms", "x"}, {"weight", nullptr}};
+  for (const char* const status : {"draining", "removed"}) {
+    for (const auto& [field, value] : bad.items()) {
+      Json entry = engineJson("a", "prefill", "10.0.0.1:1", status);
+      entry[field] = value;
+      const auto list =
+          parseEngineListMessage(engineListJson(9, false, {entry}), {}, net::WallClock(Instant{}, 0));
+      ASSERT_TRUE(list);
+      ASSERT_EQ(list->engines.size(), 1U) << field;
+      EXPECT_EQ(list->engines[0].entry.id, engineIdOf("a")) << field;
+      EXPECT_NE(list->engines[0].entry.state, EngineEntry::State::kServing) << field;
+    }
+  }
+}
+
+TEST(EngineListVersion, OlderListsAreIgnoredUntilNothingElseComes) {
+  using V = EngineListVersion::Decision;
+  EngineListVersion version;
+  const auto at = [](double s) { return Instant(Duration(s)); };
+  EXPECT_EQ(version.classify(41, true, at(0)), V::kApply);
+  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);
+  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);  // told once more: the same
+  EXPECT_EQ(version.classify(40, true, at(2)), V::kResync);  // a replica that lags
+  EXPECT_EQ(version.classify(44, false, at(2.1)), V::kApply);
+  EXPECT_EQ(version.classify(2, false, at(10)), V::kResync);
+  EXPECT_EQ(version.classify(2, true, at(10.5)), V::kResync);
+  EXPECT_EQ(version.classify(2, true, at(12.5)), V::kApply);  // it counts anew
+  EXPECT_EQ(version.latestIndex(), 2U);
+  EXPECT_EQ(version.classify(3, false, at(13)), V::kApply);
+}
+
+}  // namespace
+}  // namespace gannetcourse::platform
--- a/tests/platform_daemon_test.cpp
+++ b/tests/platform_daemon_test.cpp
@@ -88,7 +88,7 @@
   pid_t process_ = -1;
 };
 
-TEST_F(PlatformDaemonTest, TakesReloadAndTerminationTogetherAndFinishesItsStream) {
+TEST_F(PlatformDaemonTest, HandlesReloadAndTerminationTogetherAndFinishesItsStream) {
   writeConfiguration(configurationJson());
   launch();
   const auto peer = streaming();
--- a/tests/random_lives_test.cpp
+++ b/tests/random_interleavings_test.cpp
@@ -14,9 +14,9 @@
 constexpr double kPlayed = 12;     // seconds of clients, engines and discovery
 constexpr double kToldLatest = 6;  // a change counts as told this long after discovery had it
 
-class RandomLives : public SteppedTest, public ::testing::WithParamInterface<unsigned> {
+class RandomInterleavings : public SteppedTest, public ::testing::WithParamInterface<unsigned> {
  protected:
-  RandomLives()
+  RandomInterleavings()
       : secondReader(loop, [this](Peer& p, const http1::Request& r) { read(p, r, 2); }),
         secondWriter(loop, [this](Peer& p, const http1::Request& r) { write(p, r, 3); }),
         random_(GetParam()) {
@@ -24,7 +24,7 @@
     decodeEngine.script = [this](Peer& p, const http1::Request& r) { write(p, r, 1); };
     discovery.script = [this](Peer& p, const http1::Request&) { beginWatch(p); };
   }
-  ~RandomLives() override { node.reset(); }
+  ~RandomInterleavings() override { node.reset(); }
 
   double clock() const { return now().time_since_epoch().count(); }
   bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
@@ -296,7 +296,7 @@
   std::vector<std::shared_ptr<Work>> works_;
 };
 
-TEST_P(RandomLives, KeepTheRulesAfterEachStep) {
+TEST_P(RandomInterleavings, KeepTheRulesAfterEachStep) {
   startNodeWithAllClasses();
   emptyLines();
   const double ends = clock() + kPlayed;
@@ -322,7 +322,7 @@
   EXPECT_GT(node->core().counters().served, 5U);  // it is no idle day
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomLives, ::testing::Range(1U, 25U));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomInterleavings, ::testing::Range(1U, 25U));
 
 }  // namespace
 }  // namespace gannetcourse::platform
--- a/tests/releases_test.cpp
+++ b/tests/release_dispatcher_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace test;
 
-class ReleasesTest : public SteppedTest {
+class ReleaseDispatcherTest : public SteppedTest {
  protected:
   // Engines beside the two of the fixture; all of them silent while `silent` is set.
   void startWith(int others, const std::function<void(Json&)>& change = nullptr) {
@@ -36,7 +36,7 @@
   int taken = 0;  // releases that an engine has answered
 };
 
-TEST_F(ReleasesTest, AReleaseIsNotGivenUpWhileAllEnginesAreSilent) {
+TEST_F(ReleaseDispatcherTest, AReleaseIsNotAbandonedWhileAllEnginesAreSilent) {
   silent = true;
   startWith(2);
   const auto peer = sendFromNewClient(chatRequest("held"));
@@ -51,7 +51,7 @@
 }
 
 // An engine that is off the list may run on, and takes a release as well as any other; it comes last.
-TEST_F(ReleasesTest, AnEngineOffTheListIsAskedWhereNoOtherAnswers) {
+TEST_F(ReleaseDispatcherTest, ARemovedEngineIsCalledWhereNoOtherAnswers) {
   std::vector<bool> offTheList;  // of the engines asked, in turn
   ScriptedServer onTheList(loop, [&](Peer&, const http1::Request&) { offTheList.push_back(false); });
   ScriptedServer removed(loop, [&](Peer& peer, const http1::Request&) {
@@ -70,7 +70,7 @@
 }
 
 // What it answers brings it all the others, as with any engine.
-TEST_F(ReleasesTest, ManyReleasesAtOnceReachTheEngineOffTheListThatRuns) {
+TEST_F(ReleaseDispatcherTest, ManyReleasesAtOnceReachTheRemovedEngineThatRuns) {
   constexpr int kReleases = 40, kSilent = 7;
   std::set<std::string> reached;
   ScriptedServer removed(loop, [&](Peer& peer, const http1::Request& request) {
@@ -93,7 +93,7 @@
 
 // Many releases at once and one engine that answers, late: the calls to silent engines do not keep it from
 // being asked, and what it answers first brings it all the others.
-TEST_F(ReleasesTest, ManyReleasesAtOnceReachTheOneSlowEngineThatRuns) {
+TEST_F(ReleaseDispatcherTest, ManyReleasesAtOnceReachTheOneSlowEngineThatRuns) {
   constexpr int kReleases = 40, kSilent = 7;
   const Duration kAnswersAfter{0.3};
   std::set<std::string> reached;
@@ -118,7 +118,7 @@
 }
 
 // Without an engine none is taken: what is pending is bounded, and a repeat adds nothing to it.
-TEST_F(ReleasesTest, WhatIsPendingIsBoundedAndARepeatAddsNothing) {
+TEST_F(ReleaseDispatcherTest, WhatIsPendingIsBoundedAndARepeatAddsNothing) {
   http1::Client calls(loop, {});
   const EngineTable none;
   ReleaseDispatcher releases(loop, calls, none, [](EngineId) {});
@@ -132,7 +132,7 @@
 }
 
 // The first call may have come before what it was to release: only one sent after the repeat ends it.
-TEST_F(ReleasesTest, ACallFromBeforeARepeatDoesNotEndIt) {
+TEST_F(ReleaseDispatcherTest, ACallFromBeforeARepeatDoesNotEndIt) {
   std::vector<Peer*> asked;
   prefillEngine.script = [&](Peer& peer, const http1::Request&) { asked.push_back(&peer); };
   http1::Client calls(loop, {});
--- a/tests/long_turns_test.cpp
+++ b/tests/stalled_loop_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace test;
 
-class LongTurnsTest : public SteppedTest {
+class StalledLoopTest : public SteppedTest {
  protected:
   // Two requests whose reads end in one iteration; `meanwhile` happens while the write of the first one is
   // sent.
@@ -67,7 +67,7 @@
   std::function<void()> then;
 };
 
-TEST_F(LongTurnsTest, NothingIsSentForAClientThatHasLeftMeanwhile) {
+TEST_F(StalledLoopTest, NothingIsSentForAClientThatDisconnectedMeanwhile) {
   readsEndTogether([this] {
     otherClient().reset();
     deliverSentBytes();
@@ -78,7 +78,7 @@
   EXPECT_GE(releaseCount(first == "one" ? "two" : "one"), 1U);
 }
 
-TEST_F(LongTurnsTest, WhatIsStillWantedIsSentWithTheNextIteration) {
+TEST_F(StalledLoopTest, WhatIsStillWantedIsSentWithTheNextIteration) {
   readsEndTogether([this] { stall(0.5); });
   advance(0.05);
   EXPECT_TRUE(otherWasSent());
@@ -86,7 +86,7 @@
   EXPECT_EQ(node->core().counters().served, 4U) << "the two that opened the connections as well";
 }
 
-TEST_F(LongTurnsTest, NothingIsSentToAnEngineWhoseDrainHasComeMeanwhile) {
+TEST_F(StalledLoopTest, NothingIsSentToAnEngineWhoseDrainHasComeMeanwhile) {
   readsEndTogether([this] {
     openWatch()->send(chunkOf(
         engineListJson(9, false, {engineJson("w1", "decode", decodeEngine.address(), "draining")}).dump() +
--- a/tests/stepped_time.h
+++ b/tests/stepped_time.h
@@ -75,6 +75,16 @@
   bool ended_ = false;
 };
 
+// Listens on loopback at a port of the kernel's choice; returns the port.
+inline std::uint16_t listenOnLoopback(const RawSocket& socket, int backlog) {
+  sockaddr_in address = RawSocket::loopback(0);
+  socklen_t size = sizeof address;
+  EXPECT_EQ(::bind(socket.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
+  EXPECT_EQ(::listen(socket.fd(), backlog), 0);
+  getsockname(socket.fd(), reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
+}
+
 // Lets the other end of a connection, which is in this process too, keep only little in the kernel: what is
 // more stays in its own buffer.
 inline void shrinkSendBufferOfPeer(const RawSocket& socket) {
@@ -94,12 +104,7 @@
 class UnresponsivePort {
  public:
   UnresponsivePort() {
-    sockaddr_in address = RawSocket::loopback(0);
-    socklen_t size = sizeof address;
-    ::bind(listener_.fd(), reinterpret_cast<const sockaddr*>(&address), size);
-    ::listen(listener_.fd(), 0);
-    getsockname(listener_.fd(), reinterpret_cast<sockaddr*>(&address), &size);
-    port_ = ntohs(address.sin_port);
+    port_ = listenOnLoopback(listener_, 0);
     filler_.connect(port_);
   }
   std::uint16_t port() const { return port_; }
@@ -115,12 +120,7 @@
  public:
   DeliveryBarrier() {
     RawSocket listener;
-    sockaddr_in address = RawSocket::loopback(0);
-    socklen_t size = sizeof address;
-    ::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&address), size);
-    ::listen(listener.fd(), 1);
-    getsockname(listener.fd(), reinterpret_cast<sockaddr*>(&address), &size);
-    near_.connect(ntohs(address.sin_port));
+    near_.connect(listenOnLoopback(listener, 1));
     far_ = std::make_unique<RawSocket>(::accept(listener.fd(), nullptr, nullptr));
   }
   void pass() {
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -15,7 +15,7 @@
       if (!answerRelease(peer, request)) peer.send(bytes);
     };
     startNode();
-    const auto peer = sendFromNewClient(chatRequest("stream"));
+    auto peer = sendFromNewClient(chatRequest("stream"));
     EXPECT_TRUE(happensWithin(1, [&] { return attemptCount(decodeEngine) == 1; }));
     runUntilIdle();
     return peer;
@@ -39,7 +39,7 @@
   }
 };
 
-TEST_F(StreamEndingsTest, EachEventIsPassedOnWhenItComesWhateverCutsIt) {
+TEST_F(StreamEndingsTest, EachEventIsForwardedWhenItComesWhateverCutsIt) {
   const auto peer = streamBegins(kStreamHead);
   std::string sent;
   for (int i = 0; i < 20; ++i) {
@@ -213,9 +213,9 @@
       if (!answerRelease(p, request)) p.send("HTTP/1.1 200 OK\r\n");
     };
     startNode();
-    const auto asked = sendFromNewClient(chatRequest("once", "", "pay", "9000"));
+    auto client = sendFromNewClient(chatRequest("once", "", "pay", "9000"));
     EXPECT_TRUE(happensWithin(1, [&] { return attemptCount(decodeEngine) == 1; }));
-    return asked;
+    return client;
   }();
   const Instant from = now();
   while (!peer->hasReceived("HTTP/1.1") && now() - from < Duration(20)) {
@@ -260,7 +260,7 @@
   EXPECT_EQ(served, kCommands);
 }
 
-TEST_F(StreamEndingsTest, ManyCommandsThatAreAnsweredAtOnceAreNotTurnedAway) {
+TEST_F(StreamEndingsTest, ManyPipelinedRequestsThatAreAnsweredAtOnceAreNotRejected) {
   std::size_t served = 0;
   http1::Server server(loop, {}, {}, [&](const std::shared_ptr<http1::Exchange>& exchange) {
     ++served;
@@ -312,7 +312,7 @@
 }
 
 // All events of a stream go on, also a last one that its end has cut short of its empty line.
-TEST_F(StreamEndingsTest, ALastEventWithoutItsEmptyLineIsPassedOn) {
+TEST_F(StreamEndingsTest, ALastEventWithoutItsEmptyLineIsForwarded) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request))
       peer.send(kStreamHead + chunkOf(eventOf("a")) + chunkOf("data: [DONE]\n") + "0\r\n\r\n");
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -33,7 +33,7 @@
 };
 
 // Counts what it is told.
-class CountingSink final : public http1::ResponseHandler {
+class CountingResponseHandler final : public http1::ResponseHandler {
  public:
   void onHead(const http1::ResponseHead&) override {}
   void onBody(std::string_view) override {}
@@ -91,7 +91,7 @@
 
 TEST_F(SystemCallsTest, ACallWhoseConnectFailsAtOnceMayBeCancelledLater) {
   http1::Client client(loop, {});
-  const auto sink = std::make_shared<CountingSink>();
+  const auto sink = std::make_shared<CountingResponseHandler>();
   fail(FaultyCall::kConnect, ECONNREFUSED, 1);
   const http1::CallId call = client.start(
       {"127.0.0.1", 1}, [] { return std::string(); }, nullptr, sink);
@@ -103,9 +103,9 @@
   EXPECT_EQ(sink->ends, 1);
 }
 
-TEST_F(SystemCallsTest, NothingIsToldOfACallThatIsCancelledInTheIterationInWhichItFailed) {
+TEST_F(SystemCallsTest, NothingIsReportedOfACallThatIsCancelledInTheIterationInWhichItFailed) {
   http1::Client client(loop, {});
-  const auto sink = std::make_shared<CountingSink>();
+  const auto sink = std::make_shared<CountingResponseHandler>();
   fail(FaultyCall::kConnect, ECONNREFUSED, 1);
   client.cancel(client.start(
       {"127.0.0.1", 1}, [] { return std::string(); }, nullptr, sink));
@@ -145,7 +145,7 @@
 // The connection goes on to come up, as after EINPROGRESS.
 TEST_F(SystemCallsTest, AConnectThatASignalInterruptsGoesOn) {
   http1::Client client(loop, {});
-  const auto sink = std::make_shared<CountingSink>();
+  const auto sink = std::make_shared<CountingResponseHandler>();
   RawSocket listener;
   sockaddr_in address = RawSocket::loopback(0);
   socklen_t size = sizeof address;
--- a/tests/watch_endings_test.cpp
+++ b/tests/watch_endings_test.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_F(WatchEndingsTest, SilentAfterThirteenSecondsOfLife) {
+TEST_F(WatchEndingsTest, SilentAfterThirteenSecondsOfActivity) {
   speak();
   startNode();
   ASSERT_TRUE(told(1));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -108,7 +108,7 @@
 }
 
 TEST(Wire, InstancesShareNothing) {
-  const auto play = [](std::vector<std::string> nodes) {
+  const auto play = [](const std::vector<std::string>& nodes) {
     std::string input = frame(1, 1);
     for (const std::string& who : nodes) input += attach(who);
     input += kEnd + frame(1.1, 2);
@@ -140,6 +140,7 @@
   std::string line, fault;
 };
 
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name.
 void PrintTo(const Bad& bad, std::ostream* out) { *out << bad.name; }
 
 class Malformed : public testing::TestWithParam<Bad> {};
