--- a/lab/fake_engine.cpp
+++ b/lab/fake_engine.cpp
@@ -4,6 +4,7 @@
 #include <cstdlib>
 
 #include "gannetcourse/v1/engine.pb.h"
+#include "grpc/server_connection.h"
 
 namespace gannetcourse::lab {
 namespace {
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -9,6 +9,7 @@
 
 #include "http1/parser.h"
 #include "net/connection.h"
+#include "net/listener.h"
 #include "net/loop.h"
 
 namespace gannetcourse::test {
