--- a/soak/client.py
+++ b/soak/client.py
@@ -1,5 +1,5 @@
-"""Stand-in clients in one process: good ones, some that leave early or write slowly, and some that stop in the middle
-of a request and stay. Each tells in the log what it sent and what came back.
+"""Stand-in clients in one process: good ones, some that disconnect early or write slowly, and some that stop in the middle
+of a request and stay. Each records in the log what it sent and what came back.
 
 usage: client.py FOLDER NAME NODES-AS-JSON SECONDS SEED BUDGETS-MS-AS-JSON
 """
@@ -14,7 +14,7 @@
 
 CLASSES = [("chat", 0.6), ("keyed", 0.2), ("pay", 0.2)]
 STREAMS = 8  # requests at once in this process
-AFTER_DEADLINE = 3.0  # seconds that a client waits beyond its time, to see whether an answer comes at all
+AFTER_DEADLINE = 3.0  # seconds that a client waits beyond its time, to see whether a response comes at all
 
 
 class Client:
@@ -49,11 +49,11 @@
                     connection = None
                     await asyncio.sleep(0.1)
                     continue
-            if not await self.ask(node, connection, fresh):
+            if not await self.send_request(node, connection, fresh):
                 connection[1].transport.abort()
                 connection = None
 
-    async def ask(self, node, connection, fresh):
+    async def send_request(self, node, connection, fresh):
         """One request; True where its connection may be used again."""
         reader, writer = connection
         self.count += 1
@@ -72,27 +72,27 @@
         except ConnectionError:
             return False
         sent = time.monotonic()
-        self.log.write("asked", id=request_id, node=node, cls=cls, budget=budget, fresh=fresh)
+        self.log.write("requested", id=request_id, node=node, cls=cls, budget=budget, fresh=fresh)
         patience = budget / 1000 + AFTER_DEADLINE
         if self.random.random() < 0.1:
             patience = self.random.uniform(0, 0.3)
         try:
-            return await asyncio.wait_for(self.answer(request_id, reader), patience)
+            return await asyncio.wait_for(self.read_response(request_id, reader), patience)
         except asyncio.TimeoutError:
             writer.transport.abort()
-            self.log.write("left", id=request_id, after=time.monotonic() - sent)
+            self.log.write("disconnected", id=request_id, after=time.monotonic() - sent)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError) as fault:
-            self.log.write("cut", id=request_id, why=type(fault).__name__)
+            self.log.write("broken_off", id=request_id, why=type(fault).__name__)
         return False
 
-    async def answer(self, request_id, reader):
+    async def read_response(self, request_id, reader):
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         status = int(head.split(" ", 2)[1])
         last = "connection: close" in head.lower()
         if "chunked" not in head.lower():
             length = int(head.lower().split("content-length:")[1].split("\r\n")[0])
             await reader.readexactly(length)
-            self.log.write("answered", id=request_id, status=status)
+            self.log.write("responded", id=request_id, status=status)
             return not last
         self.log.write("started", id=request_id)
         body = b""
@@ -100,7 +100,7 @@
             body += await reader.readexactly(size)
             await reader.readexactly(2)
         await reader.readexactly(2)
-        self.log.write("answered", id=request_id, status=status, right=self.is_right(request_id, body))
+        self.log.write("responded", id=request_id, status=status, right=self.is_right(request_id, body))
         return not last
 
     @staticmethod
@@ -109,8 +109,8 @@
         events = [e for e in body.split(b"\n\n") if e]
         if not events or events[-1] + b"\n\n" != DONE:
             return False
-        told = [json.loads(e[len(b"data: "):]) for e in events[:-1]]
-        return [e["index"] for e in told] == list(range(len(told))) and all(e["id"] == request_id for e in told)
+        events_sent = [json.loads(e[len(b"data: "):]) for e in events[:-1]]
+        return [e["index"] for e in events_sent] == list(range(len(events_sent))) and all(e["id"] == request_id for e in events_sent)
 
     async def halves(self):
         """Clients that stop in the middle of a request and stay."""
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: one port a node, so that it knows whom it tells; steered by lines on its standard input.
+"""A stand-in discovery: one port a node, so that it knows whom it notifies; steered by lines on its standard input.
 
 usage: discovery.py FOLDER PORTS-AND-ADDRESSES-AS-JSON
 
@@ -13,7 +13,7 @@
 
 from wire import STREAM_HEAD, EventLog, chunk, read_message
 
-LIFE_EVERY = 0.5  # seconds between two empty lines
+KEEPALIVE_INTERVAL = 0.5  # seconds between two empty lines
 
 
 class Discovery:
@@ -23,7 +23,7 @@
         self.entries = plan["entries"]
         self.index = 1
         self.watches = {}  # writer -> node
-        self.untold = set()  # watches that were opened while discovery was silent
+        self.pending = set()  # watches that were opened while discovery was silent
         self.silent_until = self.down_until = 0
 
     def list_for(self, node, names, full):
@@ -38,53 +38,53 @@
             await read_message(reader)
             writer.write(STREAM_HEAD)
             self.watches[writer] = node
-            self.untold.add(writer)
-            self.tell_untold()
+            self.pending.add(writer)
+            self.notify_pending()
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             self.watches.pop(writer, None)
-            self.untold.discard(writer)
+            self.pending.discard(writer)
             writer.transport.abort()
 
-    def tell_untold(self):
+    def notify_pending(self):
         if time.monotonic() < self.silent_until:
             return
-        for writer in list(self.untold):
-            self.tell(writer, self.watches[writer], list(self.entries), True)
-        self.untold.clear()
+        for writer in list(self.pending):
+            self.notify(writer, self.watches[writer], list(self.entries), True)
+        self.pending.clear()
 
-    def tell(self, writer, node, names, full):
+    def notify(self, writer, node, names, full):
         names = [name for name in names if not (full and self.entries[name]["status"] == "removed")]
         writer.write(chunk(self.list_for(node, names, full)))
         for name in names:
-            self.log.write("told", node=node, engine=name, status=self.entries[name]["status"])
+            self.log.write("notified", node=node, engine=name, status=self.entries[name]["status"])
 
-    def do(self, order):
+    def execute(self, command):
         now = time.monotonic()
-        if order["do"] == "entry":
+        if command["do"] == "entry":
             self.index += 1
-            self.entries[order["engine"]].update(status=order["status"], since_ms=order["since_ms"])
+            self.entries[command["engine"]].update(status=command["status"], since_ms=command["since_ms"])
             for writer, node in list(self.watches.items()):
-                if writer not in self.untold:
-                    self.tell(writer, node, [order["engine"]], False)
-        elif order["do"] == "silent":  # the open ones stay silent for good: they have to be opened anew
+                if writer not in self.pending:
+                    self.notify(writer, node, [command["engine"]], False)
+        elif command["do"] == "silent":  # the open ones stay silent for good: they have to be opened anew
             self.watches.clear()
-            self.untold.clear()
-            self.silent_until = now + order["for"]
-        elif order["do"] == "reset":
+            self.pending.clear()
+            self.silent_until = now + command["for"]
+        elif command["do"] == "reset":
             for writer in list(self.watches):
                 writer.transport.abort()
-        elif order["do"] == "down":
-            self.down_until = now + order["for"]
+        elif command["do"] == "down":
+            self.down_until = now + command["for"]
             for writer in list(self.watches):
                 writer.transport.abort()
 
-    async def life(self):
+    async def send_keepalives(self):
         while True:
-            await asyncio.sleep(LIFE_EVERY)
-            self.tell_untold()
+            await asyncio.sleep(KEEPALIVE_INTERVAL)
+            self.notify_pending()
             for writer in list(self.watches):
                 if time.monotonic() >= self.silent_until:
                     writer.write(chunk(b"\n"))
@@ -95,11 +95,11 @@
     for node, port in discovery.plan["nodes"].items():
         await asyncio.start_server(lambda r, w, node=node: discovery.serve(node, r, w), "127.0.0.1", port)
     discovery.log.write("up")
-    asyncio.create_task(discovery.life())
-    orders = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
-    while line := await orders.readline():
-        discovery.do(json.loads(line))
+    asyncio.create_task(discovery.send_keepalives())
+    commands = asyncio.StreamReader()
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+    while line := await commands.readline():
+        discovery.execute(json.loads(line))
 
 
 if __name__ == "__main__":
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in engine: a reader or a writer on one port, with answers that fail in the ways that the protocol names.
+"""A stand-in engine: a prefill or decode engine on one port, with answers that fail in the ways that the protocol names.
 
 usage: engine.py FOLDER NAME ROLE PORT SEED
 """
@@ -10,12 +10,12 @@
 from wire import DONE, LAST_CHUNK, STREAM_HEAD, EventLog, chunk, event, read_message
 
 # Shares of the requests that end in some other way than well.
-TROUBLES = [("rejected", 0.03), ("error", 0.03), ("hang", 0.02), ("reset", 0.02), ("noise", 0.02), ("absurd", 0.02),
+FAULTS = [("rejected", 0.03), ("error", 0.03), ("hang", 0.02), ("reset", 0.02), ("noise", 0.02), ("absurd", 0.02),
             ("stall", 0.01), ("second", 0.02)]
 REJECTED = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 LEASES = "/kv/leases/"
-PLACE_HELD = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 RELEASED = b"HTTP/1.1 204 No Content\r\n\r\n"
 
 
@@ -24,9 +24,9 @@
         self.log = EventLog(folder, name)
         self.role, self.random = role, random.Random(seed)
 
-    def trouble(self):
+    def draw_fault(self):
         draw = self.random.random()
-        for kind, share in TROUBLES:
+        for kind, share in FAULTS:
             if draw < share:
                 return kind
             draw -= share
@@ -42,8 +42,8 @@
                     writer.write(RELEASED)
                     continue
                 if target.startswith(LEASES):
-                    self.log.write("place", id=target.rsplit("/", 1)[1])
-                    writer.write(PLACE_HELD)
+                    self.log.write("reserved", id=target.rsplit("/", 1)[1])
+                    writer.write(RESERVED)
                     continue
                 await self.answer(request, reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.LimitOverrunError, ValueError):
@@ -54,66 +54,66 @@
     async def answer(self, request, reader, writer):
         """Answers one request; its connection's end before the answer ends the attempt."""
         request_id = request.fields["x-call-id"]
-        trouble = self.trouble()
+        fault = self.draw_fault()
         self.log.write("began", id=request_id, role=self.role, budget=int(request.fields["x-budget-ms"]),
-                       cls=request.fields.get("x-call-class", ""), trouble=trouble)
-        gone = asyncio.create_task(reader.read(1))
-        work = asyncio.create_task(self.work(request_id, trouble, writer))
-        await asyncio.wait({gone, work}, return_when=asyncio.FIRST_COMPLETED)
-        whole = work.done() and not work.cancelled() and work.exception() is None and work.result()
-        self.log.write("ended", id=request_id, role=self.role, whole=bool(whole))
+                       cls=request.fields.get("x-call-class", ""), fault=fault)
+        disconnected = asyncio.create_task(reader.read(1))
+        work = asyncio.create_task(self.work(request_id, fault, writer))
+        await asyncio.wait({disconnected, work}, return_when=asyncio.FIRST_COMPLETED)
+        complete = work.done() and not work.cancelled() and work.exception() is None and work.result()
+        self.log.write("ended", id=request_id, role=self.role, complete=bool(complete))
         work.cancel()
-        if not whole:
-            gone.cancel()
+        if not complete:
+            disconnected.cancel()
             raise ConnectionError
         # A byte that came behind the request is of the next one, which the protocol rules out.
-        gone.cancel()
+        disconnected.cancel()
         try:
-            await gone
+            await disconnected
         except asyncio.CancelledError:
             pass
 
-    async def work(self, request_id, trouble, writer):
+    async def work(self, request_id, fault, writer):
         """True where the connection may carry on."""
         await asyncio.sleep(self.random.uniform(0.005, 0.08))
-        if trouble == "rejected":
+        if fault == "rejected":
             self.log.write("never_ran", id=request_id)
             writer.write(REJECTED)
             return True
-        if trouble == "error":
+        if fault == "error":
             writer.write(ERROR)
             return True
-        if trouble == "hang":
+        if fault == "hang":
             await asyncio.sleep(60)
-        if trouble == "reset":
+        if fault == "reset":
             writer.transport.abort()
             return False
-        if trouble == "noise":
+        if fault == "noise":
             writer.write(b"\x00\x01 no HTTP at all\r\n\r\n" * 3)
             await asyncio.sleep(60)
-        return await (self.read(request_id, trouble, writer) if self.role == "prefill"
-                      else self.stream(request_id, trouble, writer))
+        return await (self.prefill(request_id, fault, writer) if self.role == "prefill"
+                      else self.decode(request_id, fault, writer))
 
-    async def read(self, request_id, trouble, writer):
-        kept = "1e300" if trouble == "absurd" else "40"
-        body = f'{{"cached_tokens":{kept}}}'.encode()
-        report = "x0=1e300, x1=1e300" if trouble == "absurd" else "x0=0.25, x1=2"
+    async def prefill(self, request_id, fault, writer):
+        cached = "1e300" if fault == "absurd" else "40"
+        body = f'{{"cached_tokens":{cached}}}'.encode()
+        report = "x0=1e300, x1=1e300" if fault == "absurd" else "x0=0.25, x1=2"
         self.log.write("held", id=request_id)
         writer.write(f"HTTP/1.1 202 Accepted\r\nX-Load-Report: TEXT mean_ms=3, {report}\r\n"
                      f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
-        if trouble == "second":
+        if fault == "second":
             await asyncio.sleep(0.01)
             writer.write(ERROR)
         return True
 
-    async def stream(self, request_id, trouble, writer):
+    async def decode(self, request_id, fault, writer):
         self.log.write("took", id=request_id)
         writer.write(STREAM_HEAD)
         events = self.random.randrange(3, 12)
         for index in range(events):
             writer.write(chunk(event(request_id, index)))
             await asyncio.sleep(self.random.uniform(0.005, 0.06))
-            if trouble == "stall" and index == 2:
+            if fault == "stall" and index == 2:
                 await asyncio.sleep(60)
         writer.write(chunk(DONE) + LAST_CHUNK)
         return True
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -72,7 +72,7 @@
         node = self.fleet.random_running_node()
         if node is None:
             return
-        call, error, per_mille = self.random.choice(shim.TROUBLES)
+        call, error, per_mille = self.random.choice(shim.FAULTS)
         length = self.random.uniform(0.05, 1.5)
         self.log.write("system_calls", node=node, call=call, error=error, length=length)
         self.fleet.plans[node].fail(call, error, per_mille)
@@ -85,7 +85,7 @@
         """The machine stands still before some sends."""
         node = self.fleet.random_running_node()
         if node is not None:
-            self.log.write("hold_up", node=node)
+            self.log.write("stall", node=node)
             self.set_switches(node, hold_ms=150, hold=20)
             self.later(1, lambda: self.set_switches(node))
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -62,7 +62,7 @@
 def not_played(folder, failures):
     """A run that plays nothing must not pass."""
     counts = audit.counts(folder)
-    for what in ("asked", "answered", "began", "held", "released", "mode", "sigterm"):
+    for what in ("requested", "responded", "began", "held", "released", "mode", "sigterm"):
         if counts[what] == 0:
             yield f"not played: no event '{what}'"
     if not failures:
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -10,8 +10,8 @@
 SIZE = len(CALLS) * RULE.size + SWITCHES.size
 UNLIMITED = 0xFFFFFFFF
 
-# Each kind of trouble of a machine: call, errno, share of the calls that fail.
-TROUBLES = [("accept", errno.EMFILE, 500), ("accept", errno.ENOBUFS, 300), ("accept", errno.EPROTO, 300),
+# Each kind of fault of a machine: call, errno, share of the calls that fail.
+FAULTS = [("accept", errno.EMFILE, 500), ("accept", errno.ENOBUFS, 300), ("accept", errno.EPROTO, 300),
             ("socket", errno.ENFILE, 1000), ("socket", errno.ENOBUFS, 400), ("connect", errno.EADDRNOTAVAIL, 600),
             ("connect", errno.ENETUNREACH, 1000), ("connect", errno.ECONNREFUSED, 300), ("watch", errno.ENOMEM, 300),
             ("watch", errno.ENOSPC, 300), ("receive", errno.EINTR, 300), ("receive", errno.ENOMEM, 200),
