--- a/soak/audit.py
+++ b/soak/audit.py
@@ -11,10 +11,14 @@
 
 SLACK = 0.3  # seconds that processes here may be late to note what they saw
 LEASE_ALLOWANCE = 0.35  # 0.3 s by the fleet's page and 0.05 s of sockets
-RELEASE_AFTER_SILENCE = 0.65  # seconds from the end of a silence of all engines to the release of what is overdue
+RELEASE_AFTER_SILENCE = (
+    0.65  # seconds from the end of a silence of all engines to the release of what is overdue
+)
 SAME_MOMENT = 0.05  # seconds within which two processes may note one moment in either order
 GRACE = 0.25 + 0.05
-ACCEPTED_AFTER_SIGTERM = 0.7  # what is accepted later than this after SIGTERM must have its complete response before SIGKILL
+ACCEPTED_AFTER_SIGTERM = (
+    0.7  # what is accepted later than this after SIGTERM must have its complete response before SIGKILL
+)
 DEADLINE_SLACK = 0.5  # up to here a late response only earns nothing
 BUDGET_SLACK = 0.15
 DISCONNECT_GRACE = 0.1
@@ -59,7 +63,8 @@
 
     def excused_by_kill(self, request, what):
         """Whether SIGKILL has freed its node of this request: one that comes as a surprise frees it of all that is open;
-        one at the end of a drain only of streams taken before or soon after SIGTERM, and of what has just come."""
+        one at the end of a drain only of streams taken before or soon after SIGTERM, and of what has just come.
+        """
         by = request["t"] + request["budget"] / 1000
         seen = [e["t"] for kind in ("responded", "broken_off", "disconnected") for e in what[kind]]
         until = min(seen, default=by + 30) + SLACK
@@ -81,13 +86,20 @@
     def responses(self):
         for request_id, request, what in self.requests():
             by = request["t"] + request["budget"] / 1000 + DEADLINE_SLACK + SLACK
-            if self.excused_by_kill(request, what) or what["disconnected"] and not what["started"] and what["disconnected"][0]["t"] < by:
+            if (
+                self.excused_by_kill(request, what)
+                or what["disconnected"]
+                and not what["started"]
+                and what["disconnected"][0]["t"] < by
+            ):
                 continue
             first = what["started"] or what["responded"]
             if what["broken_off"] and not first:
                 # A connection that has been used may be closed between requests; the request is sent again then. A
                 # new one may be shut unread while a crowd fills the descriptors.
-                crowded = any(request["t"] - 5 < t < request["t"] + 5 for t in self.of_node[request["node"]]["crowd"])
+                crowded = any(
+                    request["t"] - 5 < t < request["t"] + 5 for t in self.of_node[request["node"]]["crowd"]
+                )
                 if what["sent"] or request["fresh"] and not crowded:
                     yield f"lost: {request_id} at {request['node']}, its connection was closed without an answer"
             elif not first and not what["broken_off"]:
@@ -109,10 +121,13 @@
     def attempts_after_disconnect(self):
         for request_id, request, what in self.requests():
             for disconnect in what["disconnected"]:
-                late = [s for s in what["sent"] if s["method"] == "POST" and s["t"] > disconnect["t"] + DISCONNECT_GRACE + SLACK]
+                late = [
+                    s
+                    for s in what["sent"]
+                    if s["method"] == "POST" and s["t"] > disconnect["t"] + DISCONNECT_GRACE + SLACK
+                ]
                 if late:
-                    yield f"lost: {request_id} at {request['node']}, an attempt {late[0]['t'] - disconnect['t']:.3f} s after its " \
-                          "client disconnected"
+                    yield f"lost: {request_id} at {request['node']}, an attempt {late[0]['t'] - disconnect['t']:.3f} s after its " "client disconnected"
 
     # ---- Rule 2 ----
     def effects(self):
@@ -127,8 +142,11 @@
             if request["cls"] == "keyed" and runs:
                 # What counts is when a repeat is sent: one that was in time may be delayed on its way.
                 writers = {">" + b["who"] for b in what["began"] if b["role"] == "decode"}
-                repeats = [e["t"] for e in what["sent"] if e["method"] == "POST"
-                           and any(e["pair"].endswith(writer) for writer in writers)]
+                repeats = [
+                    e["t"]
+                    for e in what["sent"]
+                    if e["method"] == "POST" and any(e["pair"].endswith(writer) for writer in writers)
+                ]
                 late = max(repeats, default=runs[0]["t"]) - runs[0]["t"]
                 if late > self.deployment.keyed_window + SOCKET_ALLOWANCE + SLACK:
                     yield f"duplicate: {request_id} was sent again {late:.3f} s after its first run"
@@ -172,6 +190,7 @@
         connection, whichever is earlier. One that arrives after that close was not out at all."""
         spans = []
         for began in what["began"]:
+
             def of_pair(kind):
                 return [e["t"] for e in what[kind] if e["pair"].endswith(">" + began["who"])]
 
@@ -210,8 +229,12 @@
                 out = [span for span in self.attempts_out(what) if span[1] >= since]
                 frees = [e["t"] for e in what["took"] if e["t"] >= held["t"]]
                 waits = list(self.decode_engines_waiting(what, out))
-                frees += [e["t"] for e in what["released"] if e["t"] >= held["t"] and not any(
-                    began <= e["t"] < end - SAME_MOMENT for began, end in waits)]
+                frees += [
+                    e["t"]
+                    for e in what["released"]
+                    if e["t"] >= held["t"]
+                    and not any(began <= e["t"] < end - SAME_MOMENT for began, end in waits)
+                ]
                 free = min(frees, default=self.events[-1]["t"])
                 for began, end, _ in out:
                     if began > free:
@@ -222,7 +245,9 @@
                 if free > self.due(since):
                     broken = broken or (since, free)
                 # "What a node held when it was killed is no longer that node's duty", if it was not overdue by then.
-                if broken and not self.node_killed(request["node"], request["t"], min(broken[1], self.due(broken[0]))):
+                if broken and not self.node_killed(
+                    request["node"], request["t"], min(broken[1], self.due(broken[0]))
+                ):
                     yield f"pinned: {request_id} of {request['node']} held at {held['who']} for {broken[1] - broken[0]:.3f} s"
 
     # ---- Deadlines sent to engines ----
@@ -247,8 +272,17 @@
                 yield f"crash: {path.stem}: {line}"
 
     def broken(self):
-        for rule in (self.responses, self.halves, self.attempts_after_disconnect, self.effects, self.overlaps, self.drains, self.state_leases,
-                     self.budgets, self.own_counts):
+        for rule in (
+            self.responses,
+            self.halves,
+            self.attempts_after_disconnect,
+            self.effects,
+            self.overlaps,
+            self.drains,
+            self.state_leases,
+            self.budgets,
+            self.own_counts,
+        ):
             yield from rule()
 
 
@@ -267,12 +301,15 @@
     count = collections.Counter(e["what"] for e in events)
     served = sum(1 for e in events if e["what"] == "responded" and e["status"] == 200)
     rejected = sum(1 for e in events if e["what"] == "responded" and e["status"] in (429, 503))
-    return f"requested={count['requested']} served={served} rejected={rejected} disconnected={count['disconnected']} broken_off={count['broken_off']} " \
-           f"attempts={count['began']} halves={count['half']}"
+    return (
+        f"requested={count['requested']} served={served} rejected={rejected} disconnected={count['disconnected']} broken_off={count['broken_off']} "
+        f"attempts={count['began']} halves={count['half']}"
+    )
 
 
 if __name__ == "__main__":
     import sys
+
     lines = audit(sys.argv[1])
     print("\n".join(lines))
     print(summary(sys.argv[1]))
--- a/soak/client.py
+++ b/soak/client.py
@@ -28,10 +28,12 @@
 
     def request(self, request_id, cls, budget):
         body = b'{"messages":[]}'
-        return (f"POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id}\r\nX-Call-Class: {cls}\r\n"
-                f"X-Route-Hash: {self.random.getrandbits(64):016x}\r\nX-Budget-Ms: {budget}\r\n"
-                f"X-Call-Info: prompt_len={self.random.randrange(50, 4000)},max_out=80\r\n"
-                f"Content-Length: {len(body)}\r\n\r\n").encode() + body
+        return (
+            f"POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id}\r\nX-Call-Class: {cls}\r\n"
+            f"X-Route-Hash: {self.random.getrandbits(64):016x}\r\nX-Budget-Ms: {budget}\r\n"
+            f"X-Call-Info: prompt_len={self.random.randrange(50, 4000)},max_out=80\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n"
+        ).encode() + body
 
     async def run(self):
         await asyncio.gather(*(self.lane() for _ in range(STREAMS)), self.halves())
@@ -109,8 +111,10 @@
         events = [e for e in body.split(b"\n\n") if e]
         if not events or events[-1] + b"\n\n" != DONE:
             return False
-        events_sent = [json.loads(e[len(b"data: "):]) for e in events[:-1]]
-        return [e["index"] for e in events_sent] == list(range(len(events_sent))) and all(e["id"] == request_id for e in events_sent)
+        events_sent = [json.loads(e[len(b"data: ") :]) for e in events[:-1]]
+        return [e["index"] for e in events_sent] == list(range(len(events_sent))) and all(
+            e["id"] == request_id for e in events_sent
+        )
 
     async def halves(self):
         """Clients that stop in the middle of a request and stay."""
@@ -124,7 +128,7 @@
             stopped = time.monotonic()
             try:
                 data = self.request("half", "chat", 1000)
-                writer.write(data[:self.random.randrange(1, len(data))])
+                writer.write(data[: self.random.randrange(1, len(data))])
                 await asyncio.wait_for(reader.read(), 6)
             except (OSError, asyncio.TimeoutError):
                 pass
--- a/soak/deployments.py
+++ b/soak/deployments.py
@@ -18,7 +18,7 @@
     budgets_ms: tuple  # what clients ask for
     pin_limit: float
     keyed_window: float
-    aim: float
+    ttft_objective: float
     may_cancel: bool = True
     max_attempts: int = 6
 
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -10,8 +10,16 @@
 from wire import DONE, LAST_CHUNK, STREAM_HEAD, EventLog, chunk, event, read_message
 
 # Shares of the requests that end in some other way than well.
-FAULTS = [("rejected", 0.03), ("error", 0.03), ("hang", 0.02), ("reset", 0.02), ("noise", 0.02), ("absurd", 0.02),
-            ("stall", 0.01), ("second", 0.02)]
+FAULTS = [
+    ("rejected", 0.03),
+    ("error", 0.03),
+    ("hang", 0.02),
+    ("reset", 0.02),
+    ("noise", 0.02),
+    ("absurd", 0.02),
+    ("stall", 0.01),
+    ("second", 0.02),
+]
 REJECTED = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 LEASES = "/kv/leases/"
@@ -55,8 +63,14 @@
         """Answers one request; its connection's end before the answer ends the attempt."""
         request_id = request.fields["x-call-id"]
         fault = self.draw_fault()
-        self.log.write("began", id=request_id, role=self.role, budget=int(request.fields["x-budget-ms"]),
-                       cls=request.fields.get("x-call-class", ""), fault=fault)
+        self.log.write(
+            "began",
+            id=request_id,
+            role=self.role,
+            budget=int(request.fields["x-budget-ms"]),
+            cls=request.fields.get("x-call-class", ""),
+            fault=fault,
+        )
         disconnected = asyncio.create_task(reader.read(1))
         work = asyncio.create_task(self.work(request_id, fault, writer))
         await asyncio.wait({disconnected, work}, return_when=asyncio.FIRST_COMPLETED)
@@ -91,16 +105,21 @@
         if fault == "noise":
             writer.write(b"\x00\x01 no HTTP at all\r\n\r\n" * 3)
             await asyncio.sleep(60)
-        return await (self.prefill(request_id, fault, writer) if self.role == "prefill"
-                      else self.decode(request_id, fault, writer))
+        return await (
+            self.prefill(request_id, fault, writer)
+            if self.role == "prefill"
+            else self.decode(request_id, fault, writer)
+        )
 
     async def prefill(self, request_id, fault, writer):
         cached = "1e300" if fault == "absurd" else "40"
         body = f'{{"cached_tokens":{cached}}}'.encode()
         report = "x0=1e300, x1=1e300" if fault == "absurd" else "x0=0.25, x1=2"
         self.log.write("held", id=request_id)
-        writer.write(f"HTTP/1.1 202 Accepted\r\nX-Load-Report: TEXT mean_ms=3, {report}\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        writer.write(
+            f"HTTP/1.1 202 Accepted\r\nX-Load-Report: TEXT mean_ms=3, {report}\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n".encode() + body
+        )
         if fault == "second":
             await asyncio.sleep(0.01)
             writer.write(ERROR)
@@ -121,7 +140,9 @@
 
 async def main(folder, name, role, port, seed):
     engine = Engine(folder, name, role, int(seed))
-    server = await asyncio.start_server(engine.serve, "127.0.0.1", int(port), limit=1 << 20, reuse_address=True)
+    server = await asyncio.start_server(
+        engine.serve, "127.0.0.1", int(port), limit=1 << 20, reuse_address=True
+    )
     engine.log.write("up")
     await server.serve_forever()
 
--- a/soak/fault_shim.cpp
+++ b/soak/fault_shim.cpp
@@ -19,7 +19,7 @@
 namespace gannetcourse::soak {
 namespace {
 
-constexpr double kBetweenHoldUps = 0.3;  // seconds
+constexpr double kMinStallInterval = 0.3;  // seconds
 
 // The C library's own function of this name.
 template <class Function>
@@ -62,21 +62,21 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// One hold-up at a time: several in one turn of the process's loop would add up to more than its terms know.
-void holdUp() {
+// Not in a row: several in one iteration of the loop would add up to more than its requirements allow for.
+void stall() {
   static thread_local double lastEnded = 0;
   const FaultPlan& plan = faultPlan();
-  if (plan.holdMillis == 0 || drawPerMille() >= plan.holdPerMille) return;
-  if (monotonicSeconds() - lastEnded < kBetweenHoldUps) return;
-  usleep(plan.holdMillis * 1000);
+  if (plan.stallMillis == 0 || drawPerMille() >= plan.stallPerMille) return;
+  if (monotonicSeconds() - lastEnded < kMinStallInterval) return;
+  usleep(plan.stallMillis * 1000);
   lastEnded = monotonicSeconds();
 }
 
 FaultPlan* sharedPlan() {
   const char* const path = std::getenv("FAULT_PLAN");
   if (path == nullptr) return nullptr;
-  static const auto openFile = original<int (*)(const char*, int, ...)>("open");
-  const int fd = openFile(path, O_RDWR | O_CLOEXEC);
+  static const auto kOpenFile = original<int (*)(const char*, int, ...)>("open");
+  const int fd = kOpenFile(path, O_RDWR | O_CLOEXEC);
   if (fd < 0) return nullptr;
   void* const memory = mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
@@ -87,8 +87,8 @@
 
 FaultPlan& faultPlan() {
   static FaultPlan own;
-  static FaultPlan* const shared = sharedPlan();
-  return shared != nullptr ? *shared : own;
+  static FaultPlan* const kShared = sharedPlan();
+  return kShared != nullptr ? *kShared : own;
 }
 
 }  // namespace gannetcourse::soak
@@ -99,19 +99,19 @@
 extern "C" {
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-  static const auto next = soak::original<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  return soak::fails(FaultyCall::kAccept) ? -1 : next(fd, address, size, flags);
+  static const auto kNext = soak::original<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  return soak::fails(FaultyCall::kAccept) ? -1 : kNext(fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-  static const auto next = soak::original<int (*)(int, int, int)>("socket");
-  return soak::fails(FaultyCall::kSocket) ? -1 : next(domain, type, protocol);
+  static const auto kNext = soak::original<int (*)(int, int, int)>("socket");
+  return soak::fails(FaultyCall::kSocket) ? -1 : kNext(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-  static const auto next = soak::original<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  static const auto kNext = soak::original<int (*)(int, const sockaddr*, socklen_t)>("connect");
   if (soak::fails(FaultyCall::kConnect)) return -1;
-  const int result = next(fd, address, size);
+  const int result = kNext(fd, address, size);
   std::uint32_t& interrupted = soak::faultPlan().interruptedConnects;
   if (result != 0 && errno == EINPROGRESS && interrupted > 0) {
     --interrupted;
@@ -121,65 +121,65 @@
 }
 
 int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) noexcept {
-  static const auto next = soak::original<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
+  static const auto kNext = soak::original<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
   if (operation == EPOLL_CTL_ADD && soak::fails(FaultyCall::kWatch)) return -1;
-  return next(epoll, operation, fd, event);
+  return kNext(epoll, operation, fd, event);
 }
 
 ssize_t recv(int fd, void* buffer, std::size_t size, int flags) {
-  static const auto next = soak::original<ssize_t (*)(int, void*, std::size_t, int)>("recv");
-  return soak::fails(FaultyCall::kReceive) ? -1 : next(fd, buffer, soak::partOf(size), flags);
+  static const auto kNext = soak::original<ssize_t (*)(int, void*, std::size_t, int)>("recv");
+  return soak::fails(FaultyCall::kReceive) ? -1 : kNext(fd, buffer, soak::partOf(size), flags);
 }
 
 ssize_t send(int fd, const void* buffer, std::size_t size, int flags) {
-  static const auto next = soak::original<ssize_t (*)(int, const void*, std::size_t, int)>("send");
+  static const auto kNext = soak::original<ssize_t (*)(int, const void*, std::size_t, int)>("send");
   if (soak::fails(FaultyCall::kSend)) return -1;
-  soak::holdUp();
-  return next(fd, buffer, soak::partOf(size), flags);
+  soak::stall();
+  return kNext(fd, buffer, soak::partOf(size), flags);
 }
 
 int open(const char* path, int flags, ...) {
-  static const auto next = soak::original<int (*)(const char*, int, ...)>("open");
+  static const auto kNext = soak::original<int (*)(const char*, int, ...)>("open");
   va_list more;
   va_start(more, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(more, mode_t) : 0;
   va_end(more);
-  return soak::fails(FaultyCall::kOpen) ? -1 : next(path, flags, mode);
+  return soak::fails(FaultyCall::kOpen) ? -1 : kNext(path, flags, mode);
 }
 
 FILE* fopen(const char* path, const char* mode) {
-  static const auto next = soak::original<FILE* (*)(const char*, const char*)>("fopen");
-  return soak::fails(FaultyCall::kOpen) ? nullptr : next(path, mode);
+  static const auto kNext = soak::original<FILE* (*)(const char*, const char*)>("fopen");
+  return soak::fails(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
 }
 
 FILE* fopen64(const char* path, const char* mode) {
-  static const auto next = soak::original<FILE* (*)(const char*, const char*)>("fopen64");
-  return soak::fails(FaultyCall::kOpen) ? nullptr : next(path, mode);
+  static const auto kNext = soak::original<FILE* (*)(const char*, const char*)>("fopen64");
+  return soak::fails(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
 }
 
 ssize_t write(int fd, const void* buffer, std::size_t size) {
-  static const auto next = soak::original<ssize_t (*)(int, const void*, std::size_t)>("write");
-  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : next(fd, buffer, size);
+  static const auto kNext = soak::original<ssize_t (*)(int, const void*, std::size_t)>("write");
+  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : kNext(fd, buffer, size);
 }
 
 ssize_t writev(int fd, const iovec* parts, int count) {
-  static const auto next = soak::original<ssize_t (*)(int, const iovec*, int)>("writev");
-  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : next(fd, parts, count);
+  static const auto kNext = soak::original<ssize_t (*)(int, const iovec*, int)>("writev");
+  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : kNext(fd, parts, count);
 }
 
 int fsync(int fd) {
-  static const auto next = soak::original<int (*)(int)>("fsync");
-  return soak::fails(FaultyCall::kSync) ? -1 : next(fd);
+  static const auto kNext = soak::original<int (*)(int)>("fsync");
+  return soak::fails(FaultyCall::kSync) ? -1 : kNext(fd);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static const auto next = soak::original<int (*)(const char*, const char*)>("rename");
-  return soak::fails(FaultyCall::kRename) ? -1 : next(from, to);
+  static const auto kNext = soak::original<int (*)(const char*, const char*)>("rename");
+  return soak::fails(FaultyCall::kRename) ? -1 : kNext(from, to);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
-  static const auto next = soak::original<int (*)(clockid_t, timespec*)>("clock_gettime");
-  const int result = next(clock, time);
+  static const auto kNext = soak::original<int (*)(clockid_t, timespec*)>("clock_gettime");
+  const int result = kNext(clock, time);
   if (result == 0 && clock == CLOCK_REALTIME) time->tv_sec += soak::faultPlan().wallClockStepMillis / 1000;
   return result;
 }
--- a/soak/fault_shim.h
+++ b/soak/fault_shim.h
@@ -6,7 +6,7 @@
 
 namespace gannetcourse::soak {
 
-// One kind of call: which errno it fails with, how often, and how often at most.
+/// One kind of call: which errno it fails with, how often, and how often at most.
 struct FaultRule {
   std::int32_t error = 0;       // errno
   std::uint32_t perMille = 0;   // share of the calls that fail; 0 = none
@@ -14,6 +14,7 @@
   std::uint32_t failed = 0;     // failures so far
 };
 
+/// The calls that can be made to fail.
 enum class FaultyCall : std::uint32_t {
   kAccept,
   kSocket,
@@ -29,20 +30,20 @@
 };
 constexpr std::uint32_t kFaultyCalls = static_cast<std::uint32_t>(FaultyCall::kCount);
 
-// Plain memory without pointers: it is shared between processes.
+/// Plain memory without pointers: it is shared between processes.
 struct FaultPlan {
   FaultRule rules[kFaultyCalls];
   std::uint32_t shortPerMille = 0;  // reads and writes of sockets that handle a part of their bytes only
-  std::uint32_t holdMillis = 0;     // the process is held up for this long before a send ...
-  std::uint32_t holdPerMille = 0;   // ... in this share of them
+  std::uint32_t stallMillis = 0;    // the process stands still for this long before a send ...
+  std::uint32_t stallPerMille = 0;  // ... in this share of them
   std::uint32_t interruptedConnects = 0;  // connects that go on, but say EINTR
   std::int64_t wallClockStepMillis = 0;   // added to the wall clock
 };
 
-// The plan of this process.
+/// The plan of this process: the file that FAULT_PLAN names, else its own memory.
 FaultPlan& faultPlan();
 
-constexpr std::uint32_t kAlways = 1000;
-constexpr std::uint32_t kUnlimited = 0xffffffffU;
+constexpr std::uint32_t kAlways = 1000;            ///< perMille of a call that always fails.
+constexpr std::uint32_t kUnlimited = 0xffffffffU;  ///< remaining, without a limit.
 
 }  // namespace gannetcourse::soak
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -79,14 +79,14 @@
         self.later(length, lambda: self.fleet.plans[node].fail(call, 0, 0))
 
     def set_switches(self, node, **switches):
-        self.fleet.plans[node].switch(**switches, clock_step_ms=self.clock_step[node])
+        self.fleet.plans[node].set_switches(**switches, clock_step_ms=self.clock_step[node])
 
     def stall(self):
         """The machine stands still before some sends."""
         node = self.fleet.random_running_node()
         if node is not None:
             self.log.write("stall", node=node)
-            self.set_switches(node, hold_ms=150, hold=20)
+            self.set_switches(node, stall_ms=150, stall=20)
             self.later(1, lambda: self.set_switches(node))
 
     def short_transfers(self):
--- a/soak/node_settings.py
+++ b/soak/node_settings.py
@@ -4,28 +4,9 @@
 def settings_of(deployment, node_count, objective_factor=1.0):
     """The settings of a deployment. `objective_factor` stretches the latency objective of the first class: a reload that
     changes something."""
-    common = {"aimS": deployment.aim, "deadlineS": deployment.longest_deadline, "worth": 1.0}
-    classes = [
-        {
-            **common,
-            "aimS": deployment.aim * objective_factor,
-            "idempotency": "idempotent",
-            "name": "chat",
-            "worth": 3.0,
-            "lateWorth": 0.1,
-        },
-        {
-            **common,
-            "idempotency": "deduplicated",
-            "group": "all",
-            "dedupWindowS": deployment.keyed_window,
-            "name": "keyed",
-        },
-        {**common, "idempotency": "at_most_once", "name": "pay"},
-    ]
     return {
         "balancers": node_count,
-        "classes": classes,
+        "classes": classes_of(deployment, objective_factor),
         "familyInfo": {
             "aimUsPer1000PromptTokens": [40000.0] * 3,
             "kindMemoryTokens": [165671, 190862],
@@ -63,3 +44,25 @@
         "probes": False,
         "retryAfter": True,
     }
+
+
+def classes_of(deployment, objective_factor):
+    common = {"aimS": deployment.ttft_objective, "deadlineS": deployment.longest_deadline, "worth": 1.0}
+    return [
+        {
+            **common,
+            "aimS": deployment.ttft_objective * objective_factor,
+            "idempotency": "idempotent",
+            "name": "chat",
+            "worth": 3.0,
+            "lateWorth": 0.1,
+        },
+        {
+            **common,
+            "idempotency": "deduplicated",
+            "group": "all",
+            "dedupWindowS": deployment.keyed_window,
+            "name": "keyed",
+        },
+        {**common, "idempotency": "at_most_once", "name": "pay"},
+    ]
--- a/soak/paths.py
+++ b/soak/paths.py
@@ -63,8 +63,11 @@
         return spans + ([Interval(since, self.end)] if since is not None else [])
 
     def _path_silent(self, events, engine):
-        return self._spans((e["t"], e["mode"] in SILENT_MODES) for e in events
-                           if e["what"] == "mode" and e["engine"] == engine and e["mode"] != "reset")
+        return self._spans(
+            (e["t"], e["mode"] in SILENT_MODES)
+            for e in events
+            if e["what"] == "mode" and e["engine"] == engine and e["mode"] != "reset"
+        )
 
     def _process_away(self, events, engine):
         def down(e):
@@ -73,8 +76,9 @@
         def stopped(e):
             return e["what"] in ("engine_stopped", "engine_continued") and e["engine"] == engine
 
-        downs = self._spans((e["t"], down(e)) for e in events
-                            if down(e) or e["what"] == "up" and e["who"] == engine)
+        downs = self._spans(
+            (e["t"], down(e)) for e in events if down(e) or e["what"] == "up" and e["who"] == engine
+        )
         stops = self._spans((e["t"], e["what"] == "engine_stopped") for e in events if stopped(e))
         return downs + stops
 
@@ -82,6 +86,9 @@
         """Spans in which no engine had been reachable for long enough to be found."""
         found = []
         for spans in self.unreachable.values():
-            found += [Interval(gap.since + FOUND_AFTER, gap.until) for gap in gaps(spans, self.start - 60, self.end)
-                      if gap.until - gap.since > FOUND_AFTER]
+            found += [
+                Interval(gap.since + FOUND_AFTER, gap.until)
+                for gap in gaps(spans, self.start - 60, self.end)
+                if gap.until - gap.since > FOUND_AFTER
+            ]
         return gaps(found, self.start, self.end)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -120,8 +120,13 @@
                 continue
             route.request = request_id.group(1).decode()
             budget = BUDGET.search(head.group(2))
-            self.log.write("sent", pair=route.pair, id=route.request, method=head.group(1).decode(),
-                           **({"budget": int(budget.group(1))} if budget else {}))
+            self.log.write(
+                "sent",
+                pair=route.pair,
+                id=route.request,
+                method=head.group(1).decode(),
+                **({"budget": int(budget.group(1))} if budget else {}),
+            )
         route.unread = unread[seen:][-MOST_HEAD:]
 
     def do(self, order):
@@ -142,7 +147,9 @@
         await asyncio.start_server(handler, "127.0.0.1", port)
     proxy.log.write("up")
     orders = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
+    await asyncio.get_running_loop().connect_read_pipe(
+        lambda: asyncio.StreamReaderProtocol(orders), sys.stdin
+    )
     while line := await orders.readline():
         proxy.do(json.loads(line))
 
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -6,16 +6,30 @@
 
 CALLS = ["accept", "socket", "connect", "watch", "receive", "send", "open", "write", "sync", "rename"]
 RULE = struct.Struct("iIII")  # errno, per mille, remaining, failed
-SWITCHES = struct.Struct("IIIIq")  # short per mille, hold in ms, its per mille, interrupted connects, clock step in ms
+SWITCHES = struct.Struct(
+    "IIIIq"
+)  # short per mille, stall in ms, its per mille, interrupted connects, clock step in ms
 SIZE = len(CALLS) * RULE.size + SWITCHES.size
 UNLIMITED = 0xFFFFFFFF
 
 # Each kind of fault of a machine: call, errno, share of the calls that fail.
-FAULTS = [("accept", errno.EMFILE, 500), ("accept", errno.ENOBUFS, 300), ("accept", errno.EPROTO, 300),
-            ("socket", errno.ENFILE, 1000), ("socket", errno.ENOBUFS, 400), ("connect", errno.EADDRNOTAVAIL, 600),
-            ("connect", errno.ENETUNREACH, 1000), ("connect", errno.ECONNREFUSED, 300), ("watch", errno.ENOMEM, 300),
-            ("watch", errno.ENOSPC, 300), ("receive", errno.EINTR, 300), ("receive", errno.ENOMEM, 200),
-            ("send", errno.EINTR, 300), ("send", errno.ENOBUFS, 200), ("open", errno.EMFILE, 1000)]
+FAULTS = [
+    ("accept", errno.EMFILE, 500),
+    ("accept", errno.ENOBUFS, 300),
+    ("accept", errno.EPROTO, 300),
+    ("socket", errno.ENFILE, 1000),
+    ("socket", errno.ENOBUFS, 400),
+    ("connect", errno.EADDRNOTAVAIL, 600),
+    ("connect", errno.ENETUNREACH, 1000),
+    ("connect", errno.ECONNREFUSED, 300),
+    ("watch", errno.ENOMEM, 300),
+    ("watch", errno.ENOSPC, 300),
+    ("receive", errno.EINTR, 300),
+    ("receive", errno.ENOMEM, 200),
+    ("send", errno.EINTR, 300),
+    ("send", errno.ENOBUFS, 200),
+    ("open", errno.EMFILE, 1000),
+]
 
 
 class Plan:
@@ -30,8 +44,10 @@
         failed = RULE.unpack_from(self._memory, at)[3]
         RULE.pack_into(self._memory, at, error, per_mille, UNLIMITED if per_mille else 0, failed)
 
-    def switch(self, short=0, hold_ms=0, hold=0, interrupted=0, clock_step_ms=0):
-        SWITCHES.pack_into(self._memory, len(CALLS) * RULE.size, short, hold_ms, hold, interrupted, clock_step_ms)
+    def set_switches(self, short=0, stall_ms=0, stall=0, interrupted=0, clock_step_ms=0):
+        SWITCHES.pack_into(
+            self._memory, len(CALLS) * RULE.size, short, stall_ms, stall, interrupted, clock_step_ms
+        )
 
     def failures(self):
         rules = [RULE.unpack_from(self._memory, i * RULE.size) for i in range(len(CALLS))]
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -26,8 +26,10 @@
     """One message with a Content-Length, or None at the end of the connection."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
-    fields = {name.strip().lower(): value.strip()
-              for name, _, value in (line.partition(":") for line in lines[1:] if line)}
+    fields = {
+        name.strip().lower(): value.strip()
+        for name, _, value in (line.partition(":") for line in lines[1:] if line)
+    }
     length = int(fields.get("content-length", 0)) if has_body else 0
     return Message(lines[0], fields, await reader.readexactly(length) if length else b"")
 
