--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -113,7 +113,7 @@
   int wakeupFd_ = -1;  // eventfd that post() writes to
   Instant now_;
   bool stopped_ = false;
-  // With a generation, by which events of a descriptor that was closed and reused are told apart.
+  // With a generation, by which events of a descriptor that was closed and reused are recognized.
   std::unordered_map<int, std::pair<Watcher*, std::uint32_t>> watchers_;
   std::uint32_t generation_ = 0;
   std::vector<std::pair<int, std::uint32_t>> unregistered_;  // not registered with epoll yet
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -10,8 +10,6 @@
 
 using namespace test;
 
-constexpr double kBound = 10;  // seconds; only a broken program needs them
-
 class ChannelTest : public ::testing::Test {
  protected:
   ChannelTest() : listener(loop, {}, [this](int fd) { peer = std::make_unique<Raw>(fd); }) {
@@ -23,9 +21,7 @@
 
   template <class Done>
   bool until(const Done& done) {
-    const Instant end = net::monotonicNow() + Duration(kBound);
-    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
-    return done();
+    return runUntil(loop, done);
   }
 
   std::shared_ptr<ClientCall> call() {
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -10,8 +10,6 @@
 
 using namespace test;
 
-constexpr double kBound = 10;  // seconds; only a broken program needs them
-
 class FrameTest : public ::testing::Test {
  protected:
   FrameTest() : server(loop, {}, options()) {
@@ -32,14 +30,11 @@
   }
 
   template <class Done>
-  bool until(const Done& done, double bound = kBound) {
-    const Instant end = net::monotonicNow() + Duration(bound);
-    while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
-    return done();
+  bool until(const Done& done) {
+    return runUntil(loop, done);
   }
 
-  // The status of a stream: from the plain text of its literal or Huffman-coded trailers as nghttp2 reads
-  // them.
+  // Sends one request on a new connection. Returns the status in its response's trailers.
   std::optional<Code> answer(const std::string& path, const std::string& body,
                              const http2::Headers& more = {}) {
     http2::Headers headers = requestHeaders(path);
@@ -48,31 +43,39 @@
     return statusOn(1);
   }
 
-  // The server's trailers are HPACK: a second, decoding channel is not needed, its status digits are told by
-  // length.
+  // The status in the trailers of a stream, once they have arrived.
   std::optional<Code> statusOn(std::uint32_t stream) {
     std::optional<Code> code;
     until([&] {
       for (const Frame& f : raw->frames()) {
         if (f.stream != stream || f.type != kHeaders || (f.flags & kEndStream) == 0) continue;
-        code = inflate(f.payload);
+        code = decodeStatus();
       }
       return code.has_value();
     });
     return code;
   }
 
-  // Feeds all header blocks so far to nghttp2's decoder would need its state; here each connection has one
-  // answer, and the decoder sees the blocks in order.
-  std::optional<Code> inflate(const std::string&);
+  // Decodes the header blocks received so far, in order: each connection here has one response.
+  std::optional<Code> decodeStatus();
+
+  // From now on the handler keeps its call and does not answer.
+  void keepCallsOpen() {
+    server.handle("/test.Echo/Say", [this](const std::shared_ptr<ServerCall>& call, std::string_view) {
+      received = call;
+      call->onCancelled = [this] { cancelled = true; };
+    });
+  }
 
   net::Loop loop;
+  std::shared_ptr<ServerCall> received;  // after keepCallsOpen()
+  bool cancelled = false;
   Server server;
   std::unique_ptr<Raw> raw;
-  std::vector<std::string> said;
+  std::vector<std::string> said;  // messages that the handler received
 };
 
-std::optional<Code> FrameTest::inflate(const std::string&) {
+std::optional<Code> FrameTest::decodeStatus() {
   nghttp2_hd_inflater* inflater = nullptr;
   nghttp2_hd_inflate_new(&inflater);
   std::optional<Code> code;
@@ -204,12 +207,7 @@
 }
 
 TEST_F(FrameTest, AResetNotifiesTheHandler) {
-  std::shared_ptr<ServerCall> received;
-  bool cancelled = false;
-  server.handle("/test.Echo/Say", [&](const std::shared_ptr<ServerCall>& call, std::string_view) {
-    received = call;
-    call->onCancelled = [&] { cancelled = true; };
-  });
+  keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
   ASSERT_TRUE(until([&] { return received != nullptr; }));
   raw->write(frameOf(kReset, 0, 1, number(http2::kCancel, 4)));
@@ -220,12 +218,7 @@
 }
 
 TEST_F(FrameTest, APeerThatVanishesWithoutAFinIsFoundByItsReset) {
-  std::shared_ptr<ServerCall> received;
-  bool cancelled = false;
-  server.handle("/test.Echo/Say", [&](const std::shared_ptr<ServerCall>& call, std::string_view) {
-    received = call;
-    call->onCancelled = [&] { cancelled = true; };
-  });
+  keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
   ASSERT_TRUE(until([&] { return received != nullptr; }));
   raw.reset();  // unread bytes are there: the kernel sends a RST, no FIN
--- a/tests/raw_http2.h
+++ b/tests/raw_http2.h
@@ -1,5 +1,5 @@
-// HTTP/2 from outside: frames as bytes, and sockets whose bytes a test reads and writes itself. Header blocks
-// here are literals without indexing.
+// HTTP/2 below any library: frames as bytes, and sockets whose bytes a test reads and writes itself. Header
+// blocks here are literals without indexing.
 #pragma once
 
 #include <arpa/inet.h>
@@ -132,4 +132,14 @@
   bool closed_ = false;
 };
 
+constexpr double kMaxWait = 10;  // seconds; only a broken program needs them
+
+// Runs the loop until `done` holds. False where it does not within `maxWait` seconds.
+template <class Done>
+bool runUntil(net::Loop& loop, const Done& done, double maxWait = kMaxWait) {
+  const Instant end = net::monotonicNow() + Duration(maxWait);
+  while (!done() && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
+  return done();
+}
+
 }  // namespace gannetcourse::test
