--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -65,7 +65,7 @@
 endif()
 
 # The lab: stand-ins, load and audit. Nothing of it is linked into the product.
-gannetcourse_component(lab SOURCES lab/engine_model.cpp lab/ledger.cpp lab/fake_engine.cpp lab/fake_registry.cpp lab/scenario.cpp
+gannetcourse_component(lab SOURCES lab/engine_model.cpp lab/ledger.cpp lab/fake_engine.cpp lab/fake_engine_calls.cpp lab/core_cost.cpp lab/fake_registry.cpp lab/scenario.cpp
                               lab/clients.cpp lab/fault_injector.cpp lab/node_process.cpp lab/seeded_fault.cpp lab/scenario_runner.cpp
                               lab/relay.cpp lab/bench.cpp lab/fault_search.cpp
                   LINK gannetcourse_node)
--- a/lab/bench.cpp
+++ b/lab/bench.cpp
@@ -9,10 +9,10 @@
 #include <fstream>
 #include <functional>
 #include <future>
-#include <map>
 #include <thread>
 #include <vector>
 
+#include "core_cost.h"
 #include "gannetcourse/v1/chat.pb.h"
 #include "gannetcourse/v1/engine.pb.h"
 #include "node/node.h"
@@ -23,6 +23,8 @@
 namespace {
 
 constexpr int kPrefillEngines = 2, kDecodeEngines = 2;
+constexpr int kMaxStreams = 20000;    // of one connection
+constexpr int kCoreRequests = 20000;  // of the measurement without a wire
 
 // An event loop on a thread of its own, with what `make` builds there.
 class LoopThread {
@@ -152,7 +154,7 @@
          int tokens)
       : tokens_(tokens) {
     grpc::ChannelOptions options;
-    options.http2.maxStreams = 20000;
+    options.http2.maxStreams = kMaxStreams;
     for (const auto& to : prefillEngines)
       prefillChannels_.push_back(std::make_unique<grpc::Channel>(loop_, to, options));
     for (const auto& to : decodeEngines)
@@ -243,102 +245,6 @@
   to.p99.push_back(quantile(idle.firstTokens, 0.99));
 }
 
-double threadCpu() {
-  timespec used{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
-  return static_cast<double>(used.tv_sec) + 1e-9 * static_cast<double>(used.tv_nsec);
-}
-
-// CPU of the core without any wire, a request; and of the module inside it, by the same events once more.
-std::pair<double, double> coreCosts(int requests, int tokens) {
-  const config::NodeSettings settings = config::parseSettings(settingsFor("none"), "bench");
-  EngineListUpdate list{EngineListUpdate::Scope::kSnapshot, {}};
-  for (std::uint32_t i = 1; i <= kPrefillEngines + kDecodeEngines; ++i) {
-    EngineEntry e;
-    e.id = {i};
-    e.role = i <= kPrefillEngines ? Role::kPrefill : Role::kDecode;
-    e.memoryTokens = 4e8;
-    list.entries.push_back(e);
-  }
-  router::Core core(settings.policy, {"bench", Duration(0.06), false, {}});
-  double now = 1;
-  const auto at = [&] { return Instant(Duration(now)); };
-  core.onEngineListUpdate(at(), list);
-  core.takeCommands();
-  auto work = std::make_shared<router::RequestPayload>();
-  work->promptTokens = 200;
-  const double from = threadCpu();
-  for (int i = 1; i <= requests; ++i) {
-    now += 0.0002;
-    core.advance(at());
-    router::NewRequest a;
-    a.key = static_cast<router::RequestKey>(i);
-    a.timeUntilDeadline = Duration(30);
-    a.sessionKey = static_cast<std::uint64_t>(i % 997) + 1;
-    a.payload = work;
-    core.onRequest(at(), std::move(a));
-    for (bool more = true; more;) {
-      more = false;
-      for (const router::Command& c : core.takeCommands()) {
-        if (const auto* read = std::get_if<router::StartPrefill>(&c)) {
-          core.onPrefillEnded(at(), read->call, "s", 0, {});
-          more = true;
-        } else if (const auto* write = std::get_if<router::StartDecode>(&c)) {
-          for (int t = 0; t < tokens; ++t)
-            core.onToken(at(), write->call, static_cast<std::uint32_t>(t), "reading ");
-          core.onCallEnded(at(), write->call, Outcome::kOk, 0, {}, {});
-          more = true;
-        }
-      }
-    }
-  }
-  const double whole = (threadCpu() - from) / requests;
-
-  Policy policy(settings.policy);
-  std::vector<Action> actions;
-  now = 1;
-  policy.handle(at(), list, actions);
-  std::multimap<double, std::string> timers;
-  const double start = threadCpu();
-  for (int i = 1; i <= requests; ++i) {
-    now += 0.0002;
-    const auto collect = [&] {
-      std::optional<StartAttempt> send;
-      for (const Action& a : actions) {
-        if (const auto* timer = std::get_if<SetTimer>(&a))
-          timers.emplace(timer->at.time_since_epoch().count(), timer->timer.value);
-        if (const auto* one = std::get_if<StartAttempt>(&a)) send = *one;
-      }
-      actions.clear();
-      return send;
-    };
-    collect();
-    while (!timers.empty() && timers.begin()->first <= now) {
-      const std::string token = timers.begin()->second;
-      timers.erase(timers.begin());
-      policy.handle(at(), TimerFired{token}, actions);
-      collect();
-    }
-    RequestArrived arrived;
-    arrived.id = {"bench-" + std::to_string(i)};
-    arrived.timeUntilDeadline = Duration(29.9);
-    arrived.sessionKey = static_cast<std::uint64_t>(i % 997) + 1;
-    arrived.promptTokens = 200;
-    policy.handle(at(), arrived, actions);
-    const auto read = collect();
-    if (!read) continue;
-    policy.handle(at(),
-                  AttemptEnded{arrived.id, 0, read->engine, Outcome::kPrefilled, false, 0, Duration(0), {}},
-                  actions);
-    const auto write = collect();
-    if (!write) continue;
-    policy.handle(at(), StreamStarted{arrived.id, 1, write->engine, Duration(0)}, actions);
-    policy.handle(at(), AttemptEnded{arrived.id, 1, write->engine, Outcome::kOk, true, 0, Duration(0), {}},
-                  actions);
-  }
-  return {whole, (threadCpu() - start) / requests};
-}
-
 double residentKiB(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);) {
@@ -347,87 +253,102 @@
   return 0;
 }
 
-// Memory of a node process a stream, with this many open.
-double memoryPerStream(const BenchOptions& o, int streams, const std::string& folder) {
-  Engines engines(o.tokens, true);
-  const std::string fleet = folder + "/fleet.xml";
-  std::ofstream(fleet) << engines.fleet();
-  const auto node = startProcess(o.nodeBinary, folder, "node", settingsFor(fleet));
-  net::Loop loop;
-  std::vector<std::unique_ptr<grpc::Channel>> channels;
-  grpc::ChannelOptions options;
-  options.http2.maxStreams = 20000;
-  options.keepaliveEvery = Duration(0);
-  for (int i = 0; i < 16; ++i)
-    channels.push_back(
-        std::make_unique<grpc::Channel>(loop, net::Endpoint{"127.0.0.1", node->port()}, options));
-  std::vector<std::shared_ptr<grpc::ClientCall>> calls;
-  int begun = 0, ended = 0;
-  const auto open = [&](int count) {
+// Streams that stay open at a node, from a client on this thread.
+class OpenStreams {
+ public:
+  OpenStreams(std::uint16_t port, int tokens) : tokens_(tokens) {
+    grpc::ChannelOptions options;
+    options.http2.maxStreams = kMaxStreams;
+    options.keepaliveEvery = Duration(0);
+    for (int i = 0; i < kChannels; ++i)
+      channels_.push_back(std::make_unique<grpc::Channel>(loop_, net::Endpoint{"127.0.0.1", port}, options));
+  }
+  ~OpenStreams() {
+    for (const auto& call : calls_) call->onEnd = nullptr;
+  }
+  OpenStreams(const OpenStreams&) = delete;
+  OpenStreams& operator=(const OpenStreams&) = delete;
+
+  // Opens `count` more and waits until all have begun or ended.
+  void open(int count) {
     for (int i = 0; i < count; ++i) {
-      const auto call = channels[calls.size() % channels.size()]->start(
-          "/gannetcourse.v1.Chat/Generate", makeRequest(calls.size(), o.tokens).SerializeAsString(),
+      const auto call = channels_[calls_.size() % channels_.size()]->start(
+          "/gannetcourse.v1.Chat/Generate", makeRequest(calls_.size(), tokens_).SerializeAsString(),
           Duration(300));
-      call->onMessage = [&](std::string_view) { ++begun; };
-      call->onEnd = [&](const grpc::CallEnd&) { ++ended; };
-      calls.push_back(call);
+      call->onMessage = [this](std::string_view) { ++begun_; };
+      call->onEnd = [this](const grpc::CallEnd&) { ++ended_; };
+      calls_.push_back(call);
     }
-  };
-  const auto wait = [&](int all) {
     const Instant end = net::monotonicNow() + Duration(30);
-    while (begun + ended < all && net::monotonicNow() < end) loop.runOnce(Duration(0.02));
-  };
-  open(50);
-  wait(50);
-  const double before = residentKiB(node->pid());
-  const int from = begun;
-  for (int left = streams; left > 0; left -= 100) {
-    open(std::min(left, 100));
-    wait(static_cast<int>(calls.size()));
+    while (begun_ + ended_ < static_cast<int>(calls_.size()) && net::monotonicNow() < end)
+      loop_.runOnce(Duration(0.02));
   }
+  int begun() const { return begun_; }
+
+ private:
+  static constexpr int kChannels = 16;
+
+  int tokens_;
+  net::Loop loop_;
+  std::vector<std::unique_ptr<grpc::Channel>> channels_;
+  std::vector<std::shared_ptr<grpc::ClientCall>> calls_;
+  int begun_ = 0, ended_ = 0;
+};
+
+// KiB of a node process for each stream, with this many open.
+double memoryPerStream(const BenchOptions& options, int streams, const std::string& folder) {
+  Engines engines(options.tokens, true);
+  const std::string engineList = folder + "/fleet.xml";
+  std::ofstream(engineList) << engines.fleet();
+  const auto node = startProcess(options.nodeBinary, folder, "node", settingsFor(engineList));
+  OpenStreams open(node->port(), options.tokens);
+  open.open(50);
+  const double before = residentKiB(node->pid());
+  const int begunBefore = open.begun();
+  for (int left = streams; left > 0; left -= 100) open.open(std::min(left, 100));
   const double grown = residentKiB(node->pid()) - before;
-  const int held = begun - from;
-  for (const auto& call : calls) call->onEnd = nullptr;
+  const int opened = open.begun() - begunBefore;
   node->kill();
-  if (held < streams * 9 / 10)
-    throw std::runtime_error("only " + std::to_string(held) + " streams were opened");
-  return grown / held;
+  if (opened < streams * 9 / 10)
+    throw std::runtime_error("only " + std::to_string(opened) + " streams were opened");
+  return grown / opened;
 }
 
-}  // namespace
-
-void bench(const BenchOptions& o, std::ostream& out) {
-  std::string folder = (std::filesystem::temp_directory_path() / "gannetcourse-bench-XXXXXX").string();
-  if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no temporary folder");
+struct BenchFigures {
   Figures direct, relayed, routed;
-  {
-    Engines engines(o.tokens, false);
-    std::ofstream(folder + "/fleet.xml") << engines.fleet();
-    net::Endpoint relayAt, nodeAt;
-    LoopThread relay([&](net::Loop& loop) {
-      auto made = std::make_shared<Relay>(loop, engines.prefillEngines(), engines.decodeEngines());
-      relayAt = {"127.0.0.1", made->port()};
-      return made;
-    });
-    LoopThread node([&](net::Loop& loop) {
-      auto made = std::make_shared<node::Node>(
-          loop, config::parseSettings(settingsFor(folder + "/fleet.xml"), "bench"), "bench",
-          node::Node::Hooks{});
-      nodeAt = {"127.0.0.1", made->port()};
-      return made;
-    });
-    Loader straight(engines.prefillEngines(), engines.decodeEngines(), o.tokens),
-        byRelay({}, {relayAt}, o.tokens), byNode({}, {nodeAt}, o.tokens);
-    for (int round = 0; round < o.rounds; ++round) {
-      measure(o, straight, nullptr, direct);
-      measure(o, byRelay, &relay, relayed);
-      measure(o, byNode, &node, routed);
-    }
+};
+
+BenchFigures measureAll(const BenchOptions& options, const std::string& folder) {
+  Engines engines(options.tokens, false);
+  std::ofstream(folder + "/fleet.xml") << engines.fleet();
+  net::Endpoint relayAddress, nodeAddress;
+  LoopThread relay([&](net::Loop& loop) {
+    auto made = std::make_shared<Relay>(loop, engines.prefillEngines(), engines.decodeEngines());
+    relayAddress = {"127.0.0.1", made->port()};
+    return made;
+  });
+  LoopThread node([&](net::Loop& loop) {
+    auto made =
+        std::make_shared<node::Node>(loop, config::parseSettings(settingsFor(folder + "/fleet.xml"), "bench"),
+                                     "bench", node::Node::Hooks{});
+    nodeAddress = {"127.0.0.1", made->port()};
+    return made;
+  });
+  Loader toEngines(engines.prefillEngines(), engines.decodeEngines(), options.tokens);
+  Loader toRelay({}, {relayAddress}, options.tokens);
+  Loader toNode({}, {nodeAddress}, options.tokens);
+  BenchFigures figures;
+  for (int round = 0; round < options.rounds; ++round) {
+    measure(options, toEngines, nullptr, figures.direct);
+    measure(options, toRelay, &relay, figures.relayed);
+    measure(options, toNode, &node, figures.routed);
   }
+  return figures;
+}
+
+void printRatios(const BenchOptions& o, const BenchFigures& figures, std::ostream& out) {
   const auto mid = [](const std::vector<double>& values) { return quantile(values, 0.5); };
-  const auto [core, module] = coreCosts(20000, o.tokens);
-  const double all = mid(routed.cpuPerRequest);
-  out.precision(3);
+  const auto& [direct, relayed, routed] = figures;
   out << "medians of " << o.rounds << " rounds in turn, " << o.concurrency << " requests at once, "
       << o.tokens << " tokens an answer; quick stand-in engines\n"
       << "tokens per CPU second, node / relay: " << mid(routed.tokensPerCpu) / mid(relayed.tokensPerCpu)
@@ -439,8 +360,22 @@
       << "first token one at a time, added to direct: p50 " << 1000 * (mid(routed.p50) - mid(direct.p50))
       << " ms, p99 " << 1000 * (mid(routed.p99) - mid(direct.p99)) << " ms; by the relay: p50 "
       << 1000 * (mid(relayed.p50) - mid(direct.p50)) << " ms, p99 "
-      << 1000 * (mid(relayed.p99) - mid(direct.p99)) << " ms\n"
-      << "CPU of a request in the node: module " << module / all << ", core " << (core - module) / all
+      << 1000 * (mid(relayed.p99) - mid(direct.p99)) << " ms\n";
+}
+
+}  // namespace
+
+void bench(const BenchOptions& o, std::ostream& out) {
+  std::string folder = (std::filesystem::temp_directory_path() / "gannetcourse-bench-XXXXXX").string();
+  if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no temporary folder");
+  const BenchFigures figures = measureAll(o, folder);
+  const Settings policy = config::parseSettings(settingsFor("none"), "bench").policy;
+  const auto [core, module] =
+      measureCoreCost(policy, kPrefillEngines, kDecodeEngines, kCoreRequests, o.tokens);
+  const double all = quantile(figures.routed.cpuPerRequest, 0.5);
+  out.precision(3);
+  printRatios(o, figures, out);
+  out << "CPU of a request in the node: module " << module / all << ", core " << (core - module) / all
       << ", wire and host " << (all - core) / all << " of the whole\n";
   if (o.memory) {
     for (const int streams : {1000, 10000})
