--- a/lab/bench.cpp
+++ b/lab/bench.cpp
@@ -161,7 +161,7 @@
       decodeChannels_.push_back(std::make_unique<grpc::Channel>(loop_, to, options));
   }
 
-  // With readers: engines directly. Without: the writers are nodes or relays.
+  // With prefill engines: engines directly. Without: the others are nodes or relays.
   Load run(double seconds, int concurrency) {
     load_ = {};
     running_ = true;
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -1,5 +1,5 @@
-// Open-loop clients: sessions with turns, shared beginnings, retries, impatience and slow readers. What they
-// ask does not wait for answers.
+// Open-loop clients: sessions with turns, shared prefixes, retries, impatience and slow readers. New requests
+// do not wait for responses.
 #pragma once
 
 #include <deque>
@@ -17,14 +17,16 @@
 
 namespace gannetcourse::lab {
 
+/// What clients got. Durations are seconds.
 struct ServiceCounts {
-  std::uint64_t requests = 0, inTime = 0;  // an ask with its retries; its first token within the class's aim
-  std::vector<double> firstTokens;         // seconds, of served tries
-  std::vector<double> longestGaps;         // ... the longest between two tokens of each
+  std::uint64_t requests = 0, inTime = 0;  // with retries; first token within the objective
+  std::vector<double> firstTokens;         // of served attempts
+  std::vector<double> longestGaps;         // the longest between two tokens of each
   std::vector<std::uint64_t> requestsByClass, inTimeByClass;  // by class
   std::uint64_t tokens = 0;
 };
 
+/// All clients of a scenario, on the testbed's loop.
 class Clients {
  public:
   Clients(Testbed& testbed, const Scenario& scenario, std::uint64_t seed);
@@ -33,17 +35,17 @@
   Clients& operator=(const Clients&) = delete;
 
   void addNode(const std::string& zone, const net::Endpoint& endpoint);
-  void start(double until);  // asks until then
+  void start(double until);  ///< Sends new requests until then.
   std::size_t open() const { return attempts_.size() + awaitingRetry_; }
   const ServiceCounts& service() const { return service_; }
 
-  // ---- Troubles ----
+  // ---- Faults ----
   double rateFactor = 1;                   // burst
   double heavyFactor = 1, heavyShare = 0;  // heavy_tail, of heavyClass
   std::size_t heavyClass = 0;
   std::optional<std::string> abuser;  // retry_abuse: this tenant's clients
   std::uint32_t abuseRetries = 10;
-  double abusePatience = 0.4;  // share of the aim
+  double abusePatience = 0.4;  // share of the TTFT objective
 
  private:
   struct Node {
@@ -93,7 +95,7 @@
   std::vector<Node> nodes_;
   std::vector<std::deque<Session>> sessions_;  // by class
   std::unordered_map<ClientAttemptId, Attempt> attempts_;
-  std::size_t awaitingRetry_ = 0;  // asks that wait to try again
+  std::size_t awaitingRetry_ = 0;  // requests that wait for their retry
   std::uint64_t lastRequest_ = 0, lastSession_ = 0;
   double startedAt_ = 0, until_ = 0;
   ServiceCounts service_;
--- a/lab/fake_engine.h
+++ b/lab/fake_engine.h
@@ -1,5 +1,5 @@
-// Stand-in engines on sockets: the project's engine service over gRPC in front of an EngineModel, with
-// troubles that act on what passes there. Never linked into the product.
+// Fake engines on sockets: the project's engine service over gRPC in front of an EngineModel, with faults
+// that act on its calls. Never linked into the product.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 class FakeEngine;
 
-// What all stand-ins share: the links between them, and the books.
+/// What all fake engines share: the links between them, and the audit.
 struct Testbed {
   net::Loop& loop;
   Ledger& ledger;
@@ -27,13 +27,13 @@
   std::vector<std::string> zones;
   double sameCellRate = 250000, otherCellRate = 120000,
          zoneFactor = 2;               // tokens a second; times slower to another zone
-  double linkSlowdown = 1;             // times slower, by trouble
-  std::optional<std::string> cutZone;  // this zone and the others do not hear each other
+  double linkSlowdown = 1;             ///< Times slower, by a fault.
+  std::optional<std::string> cutZone;  ///< This zone and the others cannot reach each other.
   std::vector<double> meanPrompt;      // by class: what a send weighs is against this
   std::vector<std::string> classes;
   double slowStartOverloadFactor = 2.5, slowStartWindow = 2;
   std::unordered_map<std::string, FakeEngine*> byAddress;
-  double meanFresh = 600;  // tokens that a warm reader has to read for a request, its overhead included
+  double meanFresh = 600;  ///< Tokens of an uncached prefill, its overhead included.
 
   double now() const { return net::monotonicNow().time_since_epoch().count(); }
   std::uint32_t zoneIndex(const std::string& zone) const;
@@ -43,7 +43,7 @@
   double randomUnit() { return std::uniform_real_distribution<double>()(random); }
 };
 
-// Troubles that act on single calls.
+/// Faults that act on single calls.
 struct CallFaults {
   double errorShare = 0;                    // fast_errors
   std::optional<std::string> failingClass;  // class_fail: this class's calls
@@ -55,6 +55,7 @@
   double throttleRate = 0, throttleDelay = 0;  // calls a second that are taken; seconds until it says no
 };
 
+/// One engine process. Runs on the testbed's loop, which must outlive it.
 class FakeEngine {
  public:
   FakeEngine(Testbed& testbed, EngineSpec spec);
@@ -69,23 +70,25 @@
 
   void step(double now, double span);
 
-  // ---- Troubles ----
+  // ---- Faults ----
   CallFaults callFaults;
-  void crash();                 // RST everywhere, port closed
-  void setSilent(bool silent);  // answers nobody and closes nothing
-  void restart();               // a new, cold process
-  void applyCut();              // after Fabric::cutZone has changed
+  void crash();                 ///< Resets all connections and closes the port.
+  void setSilent(bool silent);  ///< Answers nothing and closes nothing.
+  void restart();               ///< A new process, in slow start.
+  void applyCut();              ///< After Testbed::cutZone has changed.
   bool isCrashed() const { return crashed_; }
   bool isSilent() const { return silent_; }
   bool isDown() const { return crashed_ || silent_; }
-  bool hasFailedFromOverload() const { return failedFromOverload_; }  // pushed over when cold; it stays down
+  bool hasFailedFromOverload() const {
+    return failedFromOverload_;
+  }  ///< Overloaded in slow start; it stays down.
 
-  // ---- For writers that fetch ----
+  // ---- For decode engines that fetch states ----
   bool hasState(const std::string& state) const { return states_.count(state) > 0; }
   void onStateFetched(const std::string& state);
   void setFetching(const std::string& state, bool on);
 
-  // Reads what its sockets hold, so that the books are up to date.
+  /// Reads what its sockets hold, so that the audit is up to date.
   void poll() { server_.pollAll(); }
   std::size_t openCalls() const { return openCalls_.size(); }
   std::size_t states() const { return states_.size(); }
@@ -100,7 +103,7 @@
     std::string request;
     std::uint32_t attempt = 0;
     double lease = 0;                      // seconds; 0 = none
-    ClientAttemptId unfinishedStream = 0;  // of a stream that has begun and is not whole
+    ClientAttemptId unfinishedStream = 0;  // a stream that has begun and is not complete
   };
   struct State {
     std::string request;
@@ -124,10 +127,10 @@
   void fence(const Call& call, std::string_view bytes);
   void probe(const Call& call);
 
-  // The attempt is out from when it has come, though a silent engine does nothing with it.
+  // An attempt counts as open from its arrival, though a silent engine does nothing with it.
   void recordUnhandledCall(const Call& call, std::string_view bytes);
   EngineAttemptKey recordAttempt(const Call& call, const AttemptInfo& attempt);
-  // Books the attempt; nothing where a trouble has taken the call, or it falls over now.
+  // Records the attempt; nothing where a fault takes the call, or the engine fails from overload now.
   std::optional<std::uint64_t> admit(const Call& call, const AttemptInfo& attempt);
   bool endAttempts(const std::string& request, std::uint32_t upTo, const char* why);
   void endLeases(double now);
@@ -145,7 +148,7 @@
   grpc::Server server_;
   std::unordered_map<std::uint64_t, OpenCall> openCalls_;
   std::unordered_map<const grpc::ServerCall*, EngineAttemptKey>
-      unhandledAttempts_;  // booked, not yet handled
+      unhandledAttempts_;  // recorded, not yet handled
   std::unordered_map<std::string, State> states_;
   struct Fence {
     std::uint32_t below = 0;  // attempts under this number are refused
--- a/lab/fake_registry.h
+++ b/lab/fake_registry.h
@@ -1,4 +1,4 @@
-// A stand-in registry: streams the list of engines to the nodes, as late as its script says.
+// A fake registry: streams the engine list to the nodes, as late as its scenario says.
 #pragma once
 
 #include <map>
@@ -12,15 +12,16 @@
 
 namespace gannetcourse::lab {
 
+/// Runs on the testbed's loop, which must outlive it.
 class FakeRegistry {
  public:
   explicit FakeRegistry(Testbed& testbed);
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
 
-  // The entry as the registry knows it from now on; nodes are told at once.
+  /// Sets an engine's entry and notifies all watchers at once.
   void set(const FakeEngine& engine, v1::EngineEntry::State state, std::int64_t leavesUnixMs = 0);
   void remove(std::uint32_t engine);
-  void setDown(bool away);  // its process is gone; connections break and are refused
+  void setDown(bool away);  ///< As a crash: connections break and new ones are refused.
 
  private:
   struct Watcher {
--- a/lab/fault_search.cpp
+++ b/lab/fault_search.cpp
@@ -20,16 +20,16 @@
 
 enum Step {
   kProgress,    // the read ends, or a token comes
-  kFinish,      // the writer ends well
+  kFinish,      // the decode engine ends well
   kBreak,       // the engine, reading or writing, closes its connection
-  kLinkLost,    // the node gives the connection up; the writer goes on
+  kLinkLost,    // the node abandons the connection; the engine continues
   kTwice,       // the last token once more
   kLate,        // a token of a call that is over
   kShortWait,   // a stall that is no silence
   kLongWait,    // silence, or the lease runs out
   kAck,         // the engine answers the fence
   kClientGoes,  // the client leaves
-  kLeaves,      // the writer is about to leave
+  kLeaves,      // the engine announces its shutdown
   kGap,         // a token is missing
   kSteps
 };
--- a/lab/fault_search.h
+++ b/lab/fault_search.h
@@ -1,5 +1,5 @@
-// Drives the real core through every order of events that a stream's life can meet, up to a depth, and holds
-// each against the rules: one answer, nothing after it, tokens once and in order, never two attempts out.
+// Drives the real core through every order of events that a stream can meet, up to a depth, and checks the
+// invariants: one final response, nothing after it, tokens once and in order, never two open attempts.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 struct FaultSearchOptions {
   int depth = 5;              // events after the first token
-  int streams = 1;            // of live(): that share one budget
-  recovery::Limits recovery;  // what the core is told; a broken one shows that the check can fail
-  double engineLease = 2;     // seconds after which the engines of this world end a stream by themselves
+  int streams = 1;            // of searchRandomly(): they share one budget
+  recovery::Limits recovery;  // of the core; wrong ones show that the check can fail
+  double engineLease = 2;     // seconds after which simulated engines end a stream by themselves
 };
 
 struct FaultSearchResult {
@@ -23,7 +23,7 @@
 };
 
 FaultSearchResult searchAllOrders(const FaultSearchOptions& options);
-// Random lives instead, one for each seed; a seed gives the same life again.
+/// Random event orders instead, one for each seed; a seed gives the same order again.
 FaultSearchResult searchRandomly(const FaultSearchOptions& options, std::uint64_t from, std::uint64_t count);
 
 }  // namespace gannetcourse::lab
--- a/lab/ledger.h
+++ b/lab/ledger.h
@@ -1,5 +1,5 @@
-// The audit's books: what clients and engines saw on their sockets, joined and held against the rules. It
-// knows nothing of what a node says of itself. No I/O; times are seconds of the lab's clock.
+// The audit: joins what clients and engines saw on their sockets and checks it against the rules. It knows
+// nothing of what a node reports of itself. No I/O; times are seconds of the lab's clock.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace gannetcourse::lab {
 
-using ClientAttemptId = std::uint64_t;   // 16 times the ask's number, and which try of it
-using EngineAttemptKey = std::uint64_t;  // one call to an engine
+using ClientAttemptId = std::uint64_t;   ///< 16 times the request's number, plus the attempt's.
+using EngineAttemptKey = std::uint64_t;  ///< One call to an engine.
 
-// The rules' figures, and what the auditor grants a busy machine.
+/// The rules' limits, and what the audit allows for a busy machine. Durations are seconds.
 struct AuditRules {
   double drainGrace = 1, stateLeaseLimit = 1;
-  double allowance = 0.15;  // of a loop that was late: added to grace, pin limit and deadlines
+  double allowance = 0.15;  ///< For a loop that was late: added to grace, lease limit and deadlines.
   double slowStartOverloadFactor = 2.5, slowStartWindow = 2;
   struct Class {
     Idempotency idempotency = Idempotency::kIdempotent;
@@ -30,21 +30,24 @@
   std::vector<Class> classes;
 };
 
+/// What the audit has counted. The first line is of client attempts, the second of broken rules.
 struct AuditCounts {
   std::uint64_t requests = 0, served = 0, rejected = 0, failed = 0;
   std::uint64_t unanswered = 0, secondResponses = 0, late = 0, overlapping = 0, duplicateEffects = 0,
                 afterDrain = 0, slowStartOverloads = 0, expiredStateLeases = 0, tokenFaults = 0;
-  // Of streams that lost their writer well before their client's time: all; of safe classes; of those, the
-  // ones that went on from another writer, and that were whole in the end.
+  // Of streams that lost their decode engine well before the client's deadline: all; of idempotent classes;
+  // of those, the ones that were continued, and that were complete in the end.
   std::uint64_t broken = 0, resumable = 0, resumed = 0, completed = 0;
-  double prefilledAnew = 0;  // prompt tokens that readers read for continuations, without what they had kept
-  bool clean() const;
-  std::string line() const;     // "audit: requests=N served=N ..."
-  std::string streams() const;  // "broken=N resumed=N whole=N resumable=N anew=N"
+  double prefilledAnew = 0;     ///< Prompt tokens prefilled for continuations, without cached ones.
+  bool clean() const;           ///< Whether no rule was broken.
+  std::string line() const;     ///< "audit: requests=N served=N ..."
+  std::string streams() const;  ///< "broken=N resumed=N whole=N resumable=N anew=N"
 };
 
+/// How an attempt ended for its client.
 enum class ClientEnd { kServed, kRejected, kFailed, kInvalidRequest, kConnectionLost, kCancelled };
 
+/// Collects what was seen; finish() gives the result.
 class Ledger {
  public:
   explicit Ledger(AuditRules rules) : rules_(std::move(rules)) {}
@@ -53,7 +56,7 @@
   void onClientAttemptStarted(ClientAttemptId id, std::size_t classIndex, double at, double deadline,
                               std::uint32_t mostTokens);
   void onClientToken(ClientAttemptId id, std::uint32_t index, const std::string& text);
-  // `lag`: how late the lab's own loop was around then.
+  /// `lag` is how late the lab's own loop was around then.
   void onClientAttemptEnded(ClientAttemptId id, ClientEnd end, double at, double lag);
   void onSecondResponse() { ++counts_.secondResponses; }
 
@@ -65,37 +68,38 @@
                                          const std::string& request, ClientAttemptId id, double at);
   void onEngineAttemptClosed(EngineAttemptKey key, double at);
   bool isOpen(EngineAttemptKey key) const { return openAttempts_.count(key) > 0; }
-  // Other attempts of the same request that are still open, and the engines that they are at.
+  /// Other open attempts of the same request, with their engines.
   std::map<EngineAttemptKey, std::uint32_t> otherOpenAttempts(EngineAttemptKey key) const;
   void onConcurrentAttempts() { ++counts_.overlapping; }
-  // A writer's stream ended before it was whole; a stream began past its first token.
+  /// A decode engine's stream ended before it was complete; a stream began past its first token.
   void onStreamCut(ClientAttemptId id, double at);
   void onStreamResumed(ClientAttemptId id);
   void onPromptPrefilled(ClientAttemptId id, double tokens);
-  // An answer began to be written for it: the effect.
+  /// A response began to be generated for it: the effect.
   void onEffect(EngineAttemptKey key, double at);
 
-  // `unheard`: its node cannot have been told.
+  /// `unheard`: its node cannot have been notified.
   void onStateCreated(const EngineName& engine, const std::string& request, const std::string& state,
                       double at, bool unheard = false);
   void onStateReleased(const std::string& state, double at);
-  void onEngineSilent(std::uint32_t engine);  // it cannot be told to let go of anything
+  void onEngineSilent(std::uint32_t engine);  ///< No release can reach it.
 
-  // A cold engine's load; true where it falls over now.
+  /// The load of an engine in slow start; true where it fails from overload now.
   void onEngineStarted(std::uint32_t engine, double at);
   bool onSlowStartLoad(std::uint32_t engine, const std::string& node, double weight, double able, double at);
 
   // ---- Registry ----
-  void onNotifiedNotServing(const std::string& node, std::uint32_t engine, double at);  // draining or gone
+  void onNotifiedNotServing(const std::string& node, std::uint32_t engine,
+                            double at);  ///< Draining or removed.
   void onNotifiedServing(const std::string& node, std::uint32_t engine);
   void onNotifiedStart(const std::string& node, std::uint32_t engine, double startedAt);
 
-  // Closes the books: what is left open counts.
+  /// Ends the audit: what is still open counts.
   AuditCounts finish(double at);
   const AuditCounts& counts() const { return counts_; }
   std::size_t openAttempts() const { return openAttempts_.size(); }
   std::size_t openStates() const { return states_.size(); }
-  // What was found, a line each, the first few hundred.
+  /// What was found, a line each, the first few hundred.
   const std::vector<std::string>& findings() const { return findings_; }
 
  private:
--- a/lab/relay.h
+++ b/lab/relay.h
@@ -1,5 +1,5 @@
-// A baseline for measurements: a relay on the same net layer that passes chat on to engines in turn, without
-// any of the router's decisions, health, limits or second tries.
+// A baseline for measurements: a relay on the same net layer that forwards chat to engines in turn, without
+// any of the router's decisions, health checks, limits or retries.
 #pragma once
 
 #include <memory>
@@ -10,6 +10,7 @@
 
 namespace gannetcourse::lab {
 
+/// Runs on the loop, which must outlive it.
 class Relay {
  public:
   Relay(net::Loop& loop, const std::vector<net::Endpoint>& readers,
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -1,4 +1,4 @@
-// Day scripts: fleet, traffic and a timeline of troubles, read from XML with a schema.
+// Scenarios: engines, traffic and a timeline of faults, read from XML with a schema.
 #pragma once
 
 #include <optional>
@@ -11,6 +11,7 @@
 
 namespace gannetcourse::lab {
 
+/// One class of requests; sizes are means. Durations are seconds.
 struct ScenarioClass {
   std::string name;
   double trafficShare = 1, ttftObjective = 1, interTokenObjective = 0.06, firstTokenTimeout = 4,
@@ -21,22 +22,25 @@
   std::uint32_t prefixes = 20, outputTokens = 60;                                // most of an answer
 };
 
+/// A tenant and its share of the traffic, which is its quota as well.
 struct ScenarioTenant {
   std::string name;
   double quotaShare = 1;
 };
 
+/// One fault of the timeline; docs/lab.md lists the kinds.
 struct Fault {
   std::string kind;
   double startsAt = 0, duration = 0;
-  double engineShare = 0.2;           // of the engines
-  std::optional<Role> role;           // of those alone
+  double engineShare = 0.2;           // of the engines it hits
+  std::optional<Role> role;           // only engines of this role
   std::optional<double> size, extra;  // as the kind has it; docs/lab.md
   std::uint32_t waves = 1;
   std::string requestClass, tenant, variant;
   std::string describe() const;
 };
 
+/// One scripted run of nodes, engines and clients. Durations are seconds.
 struct Scenario {
   std::string name;
   double duration = 30;
@@ -49,7 +53,7 @@
   std::vector<ScenarioTenant> tenants;
   double overQuotaWeight = 0.1;
 
-  double requestsPerSecond = 20;  // asks a second
+  double requestsPerSecond = 20;  // of new ones
   std::string shape = "steady";
   std::uint32_t maxRetries = 1;
   double retryBackoff = 0.2, retryAfterHonoredShare = 0.7, impatientShare = 0, slowReaderShare = 0;
@@ -59,17 +63,17 @@
   double slowStartInitialCapacity = 0.3, slowStartDuration = 8, slowStartOverloadFactor = 2.5,
          slowStartWindow = 2;
   std::string reports = "answers";
-  bool recoveryEnabled = true;  // of streams that lose their writer
-  double minSilence = 1.5;      // seconds after which a silent one counts as lost
+  bool recoveryEnabled = true;  // of streams that lose their decode engine
+  double minSilence = 1.5;      // after which a silent stream counts as lost
 
   std::vector<Fault> faults;
 
   AuditRules auditRules() const;
-  // The settings of one of its nodes, as the daemon reads them.
+  /// The settings of one of its nodes, as the daemon reads them.
   std::string nodeSettings(std::uint32_t number, const std::string& registry) const;
 };
 
-// Throws config::Faults.
+/// Throws config::InvalidFile.
 Scenario loadScenario(const std::string& path);
 std::string_view scenarioSchema();
 
--- a/lab/scenario_runner.h
+++ b/lab/scenario_runner.h
@@ -1,4 +1,4 @@
-// Plays a day: stand-ins, nodes, clients, troubles; then the audit.
+// Runs a scenario: fake engines, nodes, clients, faults; then the audit.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
   std::optional<std::uint64_t> seed;
   std::optional<std::uint32_t> nodeCount;
   bool inProcess = false;
-  bool noRecovery = false;  // streams that lose their writer are not continued
+  bool noRecovery = false;  // streams that lose their decode engine are not continued
   std::string nodeBinary;   // of the daemon
   std::string seededFault;  // for proving the audit: the fault that is put into the nodes; in process only
-  std::string folder;       // where nodes' settings and logs stay; empty: a temporary one that goes
+  std::string folder;       // where nodes' settings and logs stay; empty: a temporary one
   bool quiet = false;
 };
 
@@ -29,10 +29,10 @@
   ServiceCounts serviceCounts;
   std::vector<std::string> findings;
   bool nodesEndedWell = true;
-  std::size_t enginesOverloaded = 0;  // engines that were pushed over when cold, by whoever
+  std::size_t enginesOverloaded = 0;  // in slow start, by whichever node
 };
 
-// Throws std::runtime_error where a node does not come up.
+/// Throws std::runtime_error where a node does not start.
 ScenarioResult runScenario(Scenario scenario, const ScenarioOptions& options, std::ostream& progress);
 
 }  // namespace gannetcourse::lab
--- a/lab/seeded_fault.cpp
+++ b/lab/seeded_fault.cpp
@@ -90,7 +90,7 @@
   };
 }
 
-// Once a reader was used, some later reads go there, whatever the list says.
+// Once a prefill engine was used, some later prefills go there, whatever the list says.
 Fault sendsAfterDrain() {
   return [first = std::optional<EngineId>(), pick = OneIn(4)](const Command& command,
                                                               const CarryOut& carryOut, net::Loop&) mutable {
--- a/lab/seeded_fault.h
+++ b/lab/seeded_fault.h
@@ -8,8 +8,8 @@
 
 namespace gannetcourse::lab {
 
-// The faults by name: late-answer, lost-answer, double-attempt, late-release, send-after-drain, lost-token.
-// Empty for no fault. Throws std::invalid_argument for an unknown name.
+/// A driver with one fault, by name: late-answer, lost-answer, double-attempt, late-release,
+/// send-after-drain, lost-token. Empty for no fault. Throws std::invalid_argument for an unknown name.
 node::Node::DriverFactory makeFaultyDriver(const std::string& fault, const Scenario& scenario);
 
 }  // namespace gannetcourse::lab
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -1,4 +1,4 @@
-// The lab's clients as witnesses: what they count is what came over the wire.
+// The lab's clients count what came over the wire.
 #include "clients.h"
 
 #include "raw_http2.h"
@@ -8,7 +8,7 @@
 
 using namespace test;
 
-constexpr double kBound = 10;  // seconds; only a broken program needs them
+constexpr double kWaitLimit = 10;  // seconds; only a broken program needs them
 
 // A node that answers each call with these bytes.
 class ClientsTest : public ::testing::Test {
@@ -33,13 +33,13 @@
         fields({{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status}}));
   }
 
-  // Asks until one node has been asked, answers, and waits until `done`.
+  // Sends requests until the node has one, answers it, and waits until `done`.
   bool answered(const std::string& bytes, const std::function<bool()>& done) {
     Clients clients(testbed_, scenario_, 7);
     clients.addNode("north", {"127.0.0.1", listener_.port()});
-    clients.start(testbed_.now() + kBound);
+    clients.start(testbed_.now() + kWaitLimit);
     bool sent = false;
-    const double end = testbed_.now() + kBound;
+    const double end = testbed_.now() + kWaitLimit;
     while (!done() && testbed_.now() < end) {
       loop_.runOnce(Duration(0.01));
       for (const auto& peer : peers_) {
@@ -61,12 +61,12 @@
   net::Listener listener_;
 };
 
-TEST_F(ClientsTest, ASecondAnswerIsCounted) {
+TEST_F(ClientsTest, ASecondResponseIsCounted) {
   EXPECT_TRUE(answered(trailersOnly("14") + trailersOnly("14"),
                        [&] { return ledger_.counts().secondResponses > 0; }));
 }
 
-TEST_F(ClientsTest, OneAnswerIsNotTakenForTwo) {
+TEST_F(ClientsTest, OneResponseIsNotCountedTwice) {
   EXPECT_TRUE(answered(trailersOnly("14"), [&] { return ledger_.counts().rejected > 0; }));
   EXPECT_EQ(ledger_.counts().secondResponses, 0U);
 }
--- a/tests/independent_test.cpp
+++ b/tests/independent_test.cpp
@@ -1,4 +1,4 @@
-// The node's wire seen by clients that this project did not write: the gRPC C++ library.
+// The node's wire as clients see it that this project did not write: the gRPC C++ library.
 #include <grpcpp/grpcpp.h>
 #include <gtest/gtest.h>
 
@@ -20,10 +20,10 @@
 namespace lab = gannetcourse::lab;
 namespace v1 = gannetcourse::v1;
 
-// A reader, a writer and a registry on a thread of their own, and a node in process.
-class World {
+// A prefill engine, a decode engine and a registry on a thread of their own, and a node in process.
+class TestService {
  public:
-  World() {
+  TestService() {
     std::promise<std::string> up;
     auto address = up.get_future();
     thread_ = std::thread([this, &up] { run(up); });
@@ -35,14 +35,14 @@
     scenario.responseMargin = 0.2;
     node_ = lab::startInProcess("node-0", scenario.nodeSettings(0, registry), {});
   }
-  ~World() {
+  ~TestService() {
     node_->drain();
     while (!node_->ended()) std::this_thread::yield();
     stop_ = true;
     thread_.join();
   }
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  TestService(const TestService&) = delete;
+  TestService& operator=(const TestService&) = delete;
 
   std::string target() const { return "127.0.0.1:" + std::to_string(node_->port()); }
   std::atomic<double> tokenTime{0.002};
@@ -57,25 +57,25 @@
     std::mt19937_64 random(1);
     lab::Testbed testbed{loop, ledger, random,    {"north"}, 250000, 120000, 2,  1,
                          {},   {1000}, {"query"}, 2.5,       2,      {},     600};
-    lab::EngineSpec reader, writer;
-    reader.id = 1;
-    reader.zone = writer.zone = "north";
-    writer.id = 2;
-    writer.role = Role::kDecode;
-    writer.tokenTime = 0.002;
-    lab::FakeEngine one(testbed, reader), two(testbed, writer);
+    lab::EngineSpec prefillSpec, decodeSpec;
+    prefillSpec.id = 1;
+    prefillSpec.zone = decodeSpec.zone = "north";
+    decodeSpec.id = 2;
+    decodeSpec.role = Role::kDecode;
+    decodeSpec.tokenTime = 0.002;
+    lab::FakeEngine prefillEngine(testbed, prefillSpec), decodeEngine(testbed, decodeSpec);
     lab::FakeRegistry registry(testbed);
-    registry.set(one, v1::EngineEntry::SERVING);
-    registry.set(two, v1::EngineEntry::SERVING);
+    registry.set(prefillEngine, v1::EngineEntry::SERVING);
+    registry.set(decodeEngine, v1::EngineEntry::SERVING);
     up.set_value(registry.address());
     double last = testbed.now();
     while (!stop_) {
       loop.runOnce(Duration(0.005));
       const double now = testbed.now();
-      two.model().speed = 0.002 / tokenTime;
-      one.step(now, now - last);
-      two.step(now, now - last);
-      openCalls = one.openCalls() + two.openCalls();
+      decodeEngine.model().speed = 0.002 / tokenTime;
+      prefillEngine.step(now, now - last);
+      decodeEngine.step(now, now - last);
+      openCalls = prefillEngine.openCalls() + decodeEngine.openCalls();
       last = now;
     }
   }
@@ -90,27 +90,27 @@
   void SetUp() override { connect({}); }
 
   void connect(const grpc::ChannelArguments& arguments) {
-    channel = grpc::CreateCustomChannel(world.target(), grpc::InsecureChannelCredentials(), arguments);
+    channel = grpc::CreateCustomChannel(service.target(), grpc::InsecureChannelCredentials(), arguments);
     chat = v1::Chat::NewStub(channel);
   }
 
   static v1::GenerateRequest request(std::uint64_t id, std::uint32_t output = 30) {
-    v1::GenerateRequest ask;
-    ask.set_request_class("query");
-    ask.set_prompt("#" + std::to_string(id) + " why?");
-    ask.set_prompt_tokens(200);
-    ask.set_max_output_tokens(output);
-    ask.set_seed(id);
-    return ask;
+    v1::GenerateRequest message;
+    message.set_request_class("query");
+    message.set_prompt("#" + std::to_string(id) + " why?");
+    message.set_prompt_tokens(200);
+    message.set_max_output_tokens(output);
+    message.set_seed(id);
+    return message;
   }
 
-  static void within(grpc::ClientContext& context, double seconds) {
+  static void setDeadline(grpc::ClientContext& context, double seconds) {
     context.set_deadline(std::chrono::system_clock::now() +
                          std::chrono::milliseconds(static_cast<int>(seconds * 1000)));
   }
 
-  // Reads a whole answer and checks its tokens.
-  grpc::Status whole(std::uint64_t id, grpc::ClientContext& context, std::uint32_t output = 30) {
+  // Reads a response to its end and checks its tokens.
+  grpc::Status readResponse(std::uint64_t id, grpc::ClientContext& context, std::uint32_t output = 30) {
     auto stream = chat->Generate(&context, request(id, output));
     v1::GenerateToken token;
     std::uint32_t next = 0;
@@ -126,17 +126,17 @@
     return status;
   }
 
-  World world;
+  TestService service;
   std::shared_ptr<grpc::Channel> channel;
   std::unique_ptr<v1::Chat::Stub> chat;
 };
 
-TEST_F(IndependentTest, StreamsAWholeAnswer) {
+TEST_F(IndependentTest, StreamsACompleteResponse) {
   grpc::ClientContext context;
-  within(context, 20);
+  setDeadline(context, 20);
   context.AddMetadata("x-customer", "kelaniya");
   context.AddMetadata("x-blob-bin", std::string("\0\1\2", 3));
-  const grpc::Status status = whole(16, context);
+  const grpc::Status status = readResponse(16, context);
   EXPECT_TRUE(status.ok()) << status.error_message();
   const auto& trailers = context.GetServerTrailingMetadata();
   const auto verdict = trailers.find("gannetcourse-verdict");
@@ -166,8 +166,8 @@
     clients.emplace_back([&, c] {
       for (std::uint64_t i = 0; i < 10; ++i) {
         grpc::ClientContext context;
-        within(context, 30);
-        served += whole(16 * (1 + c * 100 + i), context).ok();
+        setDeadline(context, 30);
+        served += readResponse(16 * (1 + c * 100 + i), context).ok();
       }
     });
   }
@@ -176,26 +176,26 @@
 }
 
 TEST_F(IndependentTest, ACancelReachesTheEngine) {
-  world.tokenTime = 0.2;
+  service.tokenTime = 0.2;
   grpc::ClientContext context;
-  within(context, 60);
+  setDeadline(context, 60);
   auto stream = chat->Generate(&context, request(16));
   v1::GenerateToken token;
   ASSERT_TRUE(stream->Read(&token));
-  EXPECT_EQ(world.openCalls, 1u);
+  EXPECT_EQ(service.openCalls, 1u);
   context.TryCancel();
   while (stream->Read(&token)) {
   }
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::CANCELLED);
-  for (int i = 0; i < 500 && world.openCalls > 0; ++i)
+  for (int i = 0; i < 500 && service.openCalls > 0; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  EXPECT_EQ(world.openCalls, 0u);
+  EXPECT_EQ(service.openCalls, 0u);
 }
 
-TEST_F(IndependentTest, TheDeadlineIsKeptByTheNode) {
-  world.tokenTime = 1;
+TEST_F(IndependentTest, TheNodeEnforcesTheDeadline) {
+  service.tokenTime = 1;
   grpc::ClientContext context;
-  within(context, 3);
+  setDeadline(context, 3);
   auto stream = chat->Generate(&context, request(16));
   v1::GenerateToken token;
   while (stream->Read(&token)) {
@@ -203,34 +203,34 @@
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::DEADLINE_EXCEEDED);
 }
 
-TEST_F(IndependentTest, FaultsOfTheCallerHaveTheirStatus) {
-  const auto statusOf = [&](const v1::GenerateRequest& ask, bool deadline = true) {
+TEST_F(IndependentTest, InvalidCallsHaveTheirStatus) {
+  const auto statusOf = [&](const v1::GenerateRequest& message, bool deadline = true) {
     grpc::ClientContext context;
-    if (deadline) within(context, 10);
-    auto stream = chat->Generate(&context, ask);
+    if (deadline) setDeadline(context, 10);
+    auto stream = chat->Generate(&context, message);
     v1::GenerateToken token;
     while (stream->Read(&token)) {
     }
     return stream->Finish();
   };
-  v1::GenerateRequest ask = request(16);
-  ask.set_request_class("caf\xc3\xa9");
-  const grpc::Status unknown = statusOf(ask);
+  v1::GenerateRequest message = request(16);
+  message.set_request_class("caf\xc3\xa9");
+  const grpc::Status unknown = statusOf(message);
   EXPECT_EQ(unknown.error_code(), grpc::StatusCode::INVALID_ARGUMENT);
   EXPECT_EQ(unknown.error_message(), "request_class: 'caf\xc3\xa9' is not a class of this node")
       << "percent-encoded";
   EXPECT_EQ(statusOf(request(16), false).error_code(), grpc::StatusCode::INVALID_ARGUMENT);
-  ask = request(16);
-  ask.set_prompt(std::string(5 << 20, 'x'));
-  EXPECT_EQ(statusOf(ask).error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
+  message = request(16);
+  message.set_prompt(std::string(5 << 20, 'x'));
+  EXPECT_EQ(statusOf(message).error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
 TEST_F(IndependentTest, ALargeMessageGoesThrough) {
   grpc::ClientContext context;
-  within(context, 30);
-  v1::GenerateRequest ask = request(16);
-  ask.set_prompt("#16 " + std::string(3 << 20, 'x'));
-  auto stream = chat->Generate(&context, ask);
+  setDeadline(context, 30);
+  v1::GenerateRequest message = request(16);
+  message.set_prompt("#16 " + std::string(3 << 20, 'x'));
+  auto stream = chat->Generate(&context, message);
   v1::GenerateToken token;
   std::uint32_t tokens = 0;
   while (stream->Read(&token)) ++tokens;
@@ -242,11 +242,11 @@
 TEST_F(IndependentTest, UnknownMethodsAndCompressionAreUnimplemented) {
   const auto stub = v1::Chat::NewStub(channel);
   grpc::ClientContext context;
-  within(context, 10);
+  setDeadline(context, 10);
   context.set_compression_algorithm(GRPC_COMPRESS_GZIP);
-  v1::GenerateRequest ask = request(16);
-  ask.set_prompt("#16 " + std::string(100000, 'x'));
-  auto stream = stub->Generate(&context, ask);
+  v1::GenerateRequest message = request(16);
+  message.set_prompt("#16 " + std::string(100000, 'x'));
+  auto stream = stub->Generate(&context, message);
   v1::GenerateToken token;
   while (stream->Read(&token)) {
   }
@@ -260,10 +260,10 @@
   arguments.SetInt(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
   arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
   connect(arguments);
-  world.tokenTime = 0.15;
+  service.tokenTime = 0.15;
   grpc::ClientContext context;
-  within(context, 60);
-  const grpc::Status status = whole(16, context, 20);
+  setDeadline(context, 60);
+  const grpc::Status status = readResponse(16, context, 20);
   EXPECT_TRUE(status.ok()) << status.error_message();
 }
 
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The audit's books: each kind of fault is found by its own count, and good days are not faulted.
+// The audit: each broken rule is found by its own count, and correct runs are clean.
 #include "ledger.h"
 
 #include <gtest/gtest.h>
@@ -30,15 +30,15 @@
   }
 
   Ledger ledger{rules()};
-  const Ledger::EngineName reader{1, 0, 0}, writer{2, 0, 0}, far{3, 1, 1};
+  const Ledger::EngineName prefillEngine{1, 0, 0}, decodeEngine{2, 0, 0}, far{3, 1, 1};
 };
 
 TEST_F(LedgerTest, AGoodRequestIsClean) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
-  const auto read = ledger.onEngineAttemptOpened(reader, "n", "r1", 16, 1);
-  ledger.onStateCreated(reader, "r1", "s", 1.2);
+  const auto read = ledger.onEngineAttemptOpened(prefillEngine, "n", "r1", 16, 1);
+  ledger.onStateCreated(prefillEngine, "r1", "s", 1.2);
   ledger.onEngineAttemptClosed(read, 1.2);
-  const auto write = ledger.onEngineAttemptOpened(writer, "n", "r1", 16, 1.3);
+  const auto write = ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1.3);
   ledger.onEffect(write, 1.4);
   ledger.onStateReleased("s", 1.4);
   serve(16, 2);
@@ -48,7 +48,7 @@
   EXPECT_EQ(counts.served, 1u);
 }
 
-TEST_F(LedgerTest, FindsAnswersThatAreMissingLateOrTwice) {
+TEST_F(LedgerTest, FindsResponsesThatAreMissingLateOrTwice) {
   for (const ClientAttemptId id : {16, 32, 48}) ledger.onClientAttemptStarted(id, 0, 1, 5, 20);
   serve(32, 5.5);
   serve(48, 2);
@@ -60,7 +60,7 @@
   EXPECT_FALSE(counts.clean());
 }
 
-TEST_F(LedgerTest, GrantsItsOwnLoopsLag) {
+TEST_F(LedgerTest, AllowsForItsOwnLoopsLag) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
   for (std::uint32_t i = 0; i < answerLength(16, 20); ++i) ledger.onClientToken(16, i, answerText(16, i));
   ledger.onClientAttemptEnded(16, ClientEnd::kServed, 5.2, 0.3);
@@ -87,9 +87,9 @@
 
 TEST_F(LedgerTest, NamesOtherAttemptsThatAreOpen) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
-  const auto one = ledger.onEngineAttemptOpened(reader, "n", "r1", 16, 1);
-  const auto two = ledger.onEngineAttemptOpened(writer, "n", "r1", 16, 1.1);
-  const auto other = ledger.onEngineAttemptOpened(writer, "n", "r2", 16, 1.1);
+  const auto one = ledger.onEngineAttemptOpened(prefillEngine, "n", "r1", 16, 1);
+  const auto two = ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1.1);
+  const auto other = ledger.onEngineAttemptOpened(decodeEngine, "n", "r2", 16, 1.1);
   EXPECT_EQ(ledger.otherOpenAttempts(two), (std::map<EngineAttemptKey, std::uint32_t>{{one, 1}}));
   EXPECT_TRUE(ledger.otherOpenAttempts(other).empty());
   ledger.onEngineAttemptClosed(one, 1.2);
@@ -100,7 +100,7 @@
   const auto twice = [&](std::size_t classIndex, ClientAttemptId id, const Ledger::EngineName& then,
                          double after) {
     ledger.onClientAttemptStarted(id, classIndex, 1, 50, 20);
-    const auto first = ledger.onEngineAttemptOpened(writer, "n", "r" + std::to_string(id), id, 1);
+    const auto first = ledger.onEngineAttemptOpened(decodeEngine, "n", "r" + std::to_string(id), id, 1);
     ledger.onEffect(first, 1.1);
     ledger.onEngineAttemptClosed(first, 1.2);
     const auto second = ledger.onEngineAttemptOpened(then, "n", "r" + std::to_string(id), id, 1.3);
@@ -109,60 +109,60 @@
     ledger.onEngineAttemptClosed(second, 2 + after);
     return ledger.counts().duplicateEffects - before;
   };
-  EXPECT_EQ(twice(0, 16, writer, 1), 0u);  // safe
-  EXPECT_EQ(twice(1, 32, writer, 1), 1u);  // unsafe
-  EXPECT_EQ(twice(2, 48, writer, 1), 0u);  // keyed, where its repeats are dropped
-  EXPECT_EQ(twice(2, 64, far, 1), 1u);     // keyed, elsewhere
-  EXPECT_EQ(twice(2, 80, writer, 6), 1u);  // keyed, too late
+  EXPECT_EQ(twice(0, 16, decodeEngine, 1), 0u);  // safe
+  EXPECT_EQ(twice(1, 32, decodeEngine, 1), 1u);  // unsafe
+  EXPECT_EQ(twice(2, 48, decodeEngine, 1), 0u);  // keyed, where its repeats are dropped
+  EXPECT_EQ(twice(2, 64, far, 1), 1u);           // keyed, elsewhere
+  EXPECT_EQ(twice(2, 80, decodeEngine, 6), 1u);  // keyed, too late
 }
 
-TEST_F(LedgerTest, AnEffectOfAnotherTryOfTheSameAskCounts) {
+TEST_F(LedgerTest, AnEffectOfAnotherAttemptOfTheSameRequestCounts) {
   ledger.onClientAttemptStarted(16, 1, 1, 50, 20);
   ledger.onClientAttemptStarted(17, 1, 2, 50, 20);
-  const auto first = ledger.onEngineAttemptOpened(writer, "n", "r1", 16, 1);
+  const auto first = ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1);
   ledger.onEffect(first, 1);
-  const auto second = ledger.onEngineAttemptOpened(writer, "m", "r2", 17, 2);
+  const auto second = ledger.onEngineAttemptOpened(decodeEngine, "m", "r2", 17, 2);
   ledger.onEffect(second, 2);
   EXPECT_EQ(ledger.counts().duplicateEffects, 1u);
 }
 
-TEST_F(LedgerTest, FindsSendsPastTheGrace) {
+TEST_F(LedgerTest, FindsAttemptsAfterTheDrainGrace) {
   ledger.onNotifiedNotServing("n", 1, 10);
-  ledger.onEngineAttemptOpened(reader, "n", "r1", 16, 10.4);
-  ledger.onEngineAttemptOpened(reader, "m", "r2", 16, 12);  // was never told
+  ledger.onEngineAttemptOpened(prefillEngine, "n", "r1", 16, 10.4);
+  ledger.onEngineAttemptOpened(prefillEngine, "m", "r2", 16, 12);  // was never notified
   EXPECT_EQ(ledger.counts().afterDrain, 0u);
-  ledger.onEngineAttemptOpened(reader, "n", "r3", 16, 10.7);
+  ledger.onEngineAttemptOpened(prefillEngine, "n", "r3", 16, 10.7);
   EXPECT_EQ(ledger.counts().afterDrain, 1u);
   ledger.onNotifiedServing("n", 1);
-  ledger.onEngineAttemptOpened(reader, "n", "r4", 16, 20);
+  ledger.onEngineAttemptOpened(prefillEngine, "n", "r4", 16, 20);
   EXPECT_EQ(ledger.counts().afterDrain, 1u);
 }
 
-TEST_F(LedgerTest, FindsStatesThatLieAbout) {
-  ledger.onStateCreated(reader, "r1", "a", 1);
+TEST_F(LedgerTest, FindsStatesThatOutliveTheirLease) {
+  ledger.onStateCreated(prefillEngine, "r1", "a", 1);
   ledger.onStateReleased("a", 1.9);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 0u);
-  ledger.onStateCreated(reader, "r2", "b", 1);  // an attempt is out for most of the time
-  const auto write = ledger.onEngineAttemptOpened(writer, "n", "r2", 16, 1.5);
+  ledger.onStateCreated(prefillEngine, "r2", "b", 1);  // an attempt is out for most of the time
+  const auto write = ledger.onEngineAttemptOpened(decodeEngine, "n", "r2", 16, 1.5);
   ledger.onEngineAttemptClosed(write, 4);
   ledger.onStateReleased("b", 4.8);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 0u);
-  ledger.onStateCreated(reader, "r3", "c", 1);
+  ledger.onStateCreated(prefillEngine, "r3", "c", 1);
   ledger.onStateReleased("c", 2.3);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 1u);
-  ledger.onStateCreated(reader, "r4", "d", 1);
-  ledger.onEngineSilent(1);  // could not be told
+  ledger.onStateCreated(prefillEngine, "r4", "d", 1);
+  ledger.onEngineSilent(1);  // no release can reach it
   ledger.onStateReleased("d", 9);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 1u);
 }
 
 TEST_F(LedgerTest, FindsWhatIsLeftOpen) {
-  ledger.onEngineAttemptOpened(writer, "n", "r1", 16, 1);
-  ledger.onStateCreated(reader, "r2", "a", 1);
+  ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1);
+  ledger.onStateCreated(prefillEngine, "r2", "a", 1);
   EXPECT_EQ(ledger.finish(9).expiredStateLeases, 2u);
 }
 
-TEST_F(LedgerTest, AColdEngineFallsOverByThoseWhoKnew) {
+TEST_F(LedgerTest, AnEngineInSlowStartFailsFromOverloadByNodesThatKnew) {
   ledger.onEngineStarted(1, 10);
   for (int i = 0; i < 6; ++i) EXPECT_FALSE(ledger.onSlowStartLoad(1, "n", 1, 1, 10.1 + 0.01 * i));
   // 2.5 times 1 a second for 2 s, and the slack: 7 are borne, the 8th is too much.
