--- a/src/platform/engine_list_message.h
+++ b/src/platform/engine_list_message.h
@@ -21,7 +21,7 @@
 /// One message of discovery.
 struct EngineListMessage {
   std::uint64_t index = 0;  ///< Version of the list; discovery counts it up.
-  bool isSnapshot = false;  ///< The whole list, else only the entries that have changed.
+  bool isSnapshot = false;  ///< The complete list, else only the entries that have changed.
   std::vector<EngineListMessageEntry> engines;
 
   /// The message as an event for the decision module.
--- a/src/platform/engine_response.h
+++ b/src/platform/engine_response.h
@@ -54,7 +54,7 @@
 
   /// The result of a response whose status has ended the attempt, or of a prefill that has answered.
   AttemptResult resultOfStatus() const;
-  /// The result of a stream whose body has ended. A last event without its empty line goes to `onEvent`.
+  /// The result of a stream whose body has ended. A last event without its empty line is passed to `onEvent`.
   AttemptResult finishStream(const EventStreamDecoder::EventHandler& onEvent);
   /// A result for other reasons, with the load that the response reported.
   AttemptResult resultOf(Outcome outcome, const std::string& reason, recovery::AttemptEnd end) const;
--- a/src/platform/release_dispatcher.h
+++ b/src/platform/release_dispatcher.h
@@ -25,7 +25,7 @@
 class ReleaseDispatcher {
  public:
   struct Counters {
-    std::uint64_t started = 0;        ///< Releases asked for, repeats included.
+    std::uint64_t started = 0;        ///< Releases requested, repeats included.
     std::uint64_t confirmed = 0;      ///< An engine has confirmed them.
     std::uint64_t abandoned = 0;      ///< Given up: too old, or too many pending.
     std::uint64_t calls = 0;          ///< Calls sent.
@@ -48,8 +48,8 @@
   /// Where slow and abandoned releases are logged; may be null.
   void setLog(Log log) { log_ = std::move(log); }
 
-  /// Releases all that is held for the request `id`. One that is still pending starts again: only a call that
-  /// is sent from now on confirms it.
+  /// Releases all states and reservations of the request `id`. One that is still pending starts again: only a
+  /// call that is sent from now on confirms it.
   void startRelease(const std::string& id);
 
   std::size_t pending() const { return pending_.size(); }
--- a/tests/client_endings_test.cpp
+++ b/tests/client_endings_test.cpp
@@ -14,7 +14,7 @@
   const auto peer = sendFromNewClient(chatRequest("dialling"));
   ASSERT_TRUE(happensWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
   peer->connection.close();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   EXPECT_EQ(node->engineClient().openCallCount(), 0U);
   EXPECT_TRUE(happensWithin(4, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
   EXPECT_EQ(attemptCount(decodeEngine), 0U);
@@ -30,7 +30,7 @@
   };
   peer = sendFromNewClient(chatRequest("turn"));
   ASSERT_TRUE(happensWithin(1, [&] { return attemptCount(prefillEngine) >= 1; }));
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   const std::size_t then = attemptCount(prefillEngine);
   advance(2);
   EXPECT_EQ(attemptCount(prefillEngine), then);
@@ -38,20 +38,20 @@
 
 TEST_F(ClientEndingsTest, DisconnectsWhileItsNextRequestWaitsBehindAnother) {
   startNode();
-  const auto peer = streaming("first");
+  const auto peer = startStream("first");
   peer->send(chatRequest("second"));
   runUntilIdle();
   const std::size_t before = attemptCount(prefillEngine);
   peer->connection.close();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   advance(1);
   EXPECT_EQ(attemptCount(prefillEngine), before);
 }
 
-// Past the bound the client has to wait: its request that is being answered goes on.
+// Past the limit the client has to wait: its request that is being answered continues.
 TEST_F(ClientEndingsTest, WhatComesPastTheLimitBehindARequestDoesNotEndIt) {
   startNode();
-  const auto stream = streaming("open");
+  const auto stream = startStream("open");
   const std::string piece(1 << 16, 'x');
   for (int i = 0; i < 64; ++i) {  // 4 MiB
     stream->send(piece);
@@ -60,7 +60,7 @@
   EXPECT_FALSE(stream->closed);
   EXPECT_EQ(node->core().openRequests(), 1U);
   EXPECT_EQ(node->engineClient().openCallCount(), 1U);
-  writing().send(chunkOf(kDone) + "0\r\n\r\n");
+  latestDecodePeer().send(chunkOf(kDone) + "0\r\n\r\n");
   EXPECT_TRUE(happensWithin(1, [&] { return stream->hasReceived("0\r\n\r\n"); }));
 }
 
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -7,7 +7,7 @@
 using namespace test;
 
 // How long a node may take to know a change after a watch broke: the page's 6 s, of the machine's clock.
-constexpr double kTold = 6;
+constexpr double kPropagationLimit = 6;
 
 class DiscoveryWatchTest : public PlatformTest {
  protected:
@@ -22,7 +22,7 @@
                .dump() +
            "\n";
   }
-  // Requests go nowhere once the only writer drains.
+  // No request is forwarded once the only decode engine drains.
   bool knowsDrain() {
     const std::size_t before = decodeEngine.requests.size();
     EXPECT_EQ(
@@ -41,7 +41,7 @@
     startNode();
     const Instant began = net::monotonicNow();
     ASSERT_TRUE(runUntil([&] { return watches() >= 2; }));
-    EXPECT_LT((net::monotonicNow() - began).count(), kTold);
+    EXPECT_LT((net::monotonicNow() - began).count(), kPropagationLimit);
     ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
     EXPECT_TRUE(knowsDrain());
   }
@@ -130,11 +130,11 @@
 TEST_F(DiscoveryWatchTest, DiscoveryThatWasUnreachableIsUsedSoonAfterItsReturn) {
   discovery.script = [&](Peer& peer, const http1::Request&) { peer.connection.abort(); };
   startNode();
-  ASSERT_TRUE(runUntil([&] { return watches() >= 4; }));  // refused again and again
+  ASSERT_TRUE(runUntil([&] { return watches() >= 4; }));  // rejected again and again
   discovery.script = [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(drained(9))); };
   const Instant back = net::monotonicNow();
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-  EXPECT_LT((net::monotonicNow() - back).count(), kTold);
+  EXPECT_LT((net::monotonicNow() - back).count(), kPropagationLimit);
   EXPECT_TRUE(knowsDrain());
 }
 
@@ -146,7 +146,7 @@
   std::size_t open = 0;
   for (const auto& peer : discovery.peers) open += !peer->closed;
   EXPECT_LE(open, 2U);
-  discovery.peers.front()->send(kStreamHead + chunkOf(drained(9)));  // the first one speaks after all
+  discovery.peers.front()->send(kStreamHead + chunkOf(drained(9)));  // the first one delivers after all
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
   EXPECT_TRUE(knowsDrain());
 }
@@ -187,7 +187,7 @@
 }
 
 TEST_F(DiscoveryWatchTest, ANodeThatKnowsNoEngineIsReadyOnceItHasAList) {
-  std::shared_ptr<Peer> asked;
+  std::shared_ptr<Peer> watchesSeen;
   startNode([](Json& json) { json.erase("known"); });
   EXPECT_EQ(statusOf(sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
   ASSERT_TRUE(runUntil([&] { return watches() == 1; }));
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -1,4 +1,4 @@
-// The edges of connections: clients that go, bytes in the moment of a close, many commands at once.
+// The edges of connections: clients that disconnect, bytes in the moment of a close, many requests at once.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/resource.h>
@@ -14,53 +14,53 @@
 class EdgesTest : public PlatformTest {
  protected:
   // The list as it would be with these states of the two engines.
-  void tell(const std::string& readerIs, const std::string& writerIs) {
-    const Json list = engineListJson(++told_, false,
-                                     {engineJson("r1", "prefill", prefillEngine.address(), readerIs),
-                                      engineJson("w1", "decode", decodeEngine.address(), writerIs)});
+  void announceEngineStates(const std::string& prefillStatus, const std::string& decodeStatus) {
+    const Json list = engineListJson(++listIndex_, false,
+                                     {engineJson("r1", "prefill", prefillEngine.address(), prefillStatus),
+                                      engineJson("w1", "decode", decodeEngine.address(), decodeStatus)});
     discovery.peers.front()->send(chunkOf(list.dump() + "\n"));
-    ASSERT_TRUE(runUntil([&] { return node->listIndex() == told_; }));
+    ASSERT_TRUE(runUntil([&] { return node->listIndex() == listIndex_; }));
   }
-  void startWith(const std::string& readerIs, const std::string& writerIs) {
+  void startWith(const std::string& prefillStatus, const std::string& decodeStatus) {
     startNode();
     ASSERT_TRUE(runUntil([&] { return !discovery.requests.empty(); }));
-    tell(readerIs, writerIs);
+    announceEngineStates(prefillStatus, decodeStatus);
   }
-  static void hold(Peer& peer, const http1::Request& request) {
+  static void leaveUnanswered(Peer& peer, const http1::Request& request) {
     answerRelease(peer, request);
   }  // says nothing else
   std::size_t attempts(const ScriptedServer& engine) const {
     return engine.count("POST", "/v1/chat/completions?x=1");
   }
-  bool over() {
+  bool obligationsEnd() {
     return runUntil([&] { return node->core().pendingObligations() == 0; });
   }
 
  private:
-  std::uint64_t told_ = 7;
+  std::uint64_t listIndex_ = 7;
 };
 
-// ---- A client that has gone ----
+// ---- A client that disconnects ----
 TEST_F(EdgesTest, DisconnectsWhileItsRequestWaitsForASelection) {
   startWith("draining", "up");
   const auto peer = sendFromNewClient(chatRequest("waits", "", "pay", "9000"));
   ASSERT_TRUE(runUntil([&] { return node->core().openRequests() == 1; }));
   peer->connection.close();
-  EXPECT_TRUE(over());
-  tell("up", "up");
+  EXPECT_TRUE(obligationsEnd());
+  announceEngineStates("up", "up");
   runFor(0.3);
   EXPECT_EQ(attempts(prefillEngine), 0U);
 }
 
 TEST_F(EdgesTest, DisconnectsWhileAPrefillIsInFlight) {
-  prefillEngine.script = hold;
+  prefillEngine.script = leaveUnanswered;
   startNode();
   for (const bool reset : {false, true}) {
     const auto peer = sendFromNewClient(chatRequest(reset ? "r" : "c"));
     const std::size_t before = attempts(prefillEngine);
     ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) > before; }));
-    reset ? peer->connection.abort() : peer->connection.close();
-    EXPECT_TRUE(over());
+    peer->disconnect(reset);
+    EXPECT_TRUE(obligationsEnd());
     EXPECT_TRUE(runUntil([&] { return prefillEngine.peers.back()->closed; }));
     EXPECT_TRUE(runUntil([&] {
       const std::string lease = reset ? "/kv/leases/r" : "/kv/leases/c";
@@ -71,49 +71,49 @@
 }
 
 TEST_F(EdgesTest, DisconnectsBetweenPrefillAndDecode) {
-  Peer* readingAt = nullptr;
+  Peer* prefillPeer = nullptr;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
-    if (!answerRelease(peer, request)) readingAt = &peer;
+    if (!answerRelease(peer, request)) prefillPeer = &peer;
   };
   startWith("up", "up");
   const auto peer = sendFromNewClient(chatRequest("between"));
-  ASSERT_TRUE(runUntil([&] { return readingAt != nullptr; }));
-  tell("up", "draining");
-  readingAt->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
+  ASSERT_TRUE(runUntil([&] { return prefillPeer != nullptr; }));
+  announceEngineStates("up", "draining");
+  prefillPeer->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
   ASSERT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
-  EXPECT_EQ(node->core().openRequests(), 1U);  // it holds its state, and no writer may have it
+  EXPECT_EQ(node->core().openRequests(), 1U);  // its state waits, and no decode engine may have it
   peer->connection.close();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   EXPECT_TRUE(runUntil([&] {
     return prefillEngine.count("DELETE", "/kv/leases/between") +
                decodeEngine.count("DELETE", "/kv/leases/between") >
            0;
   }));
-  tell("up", "up");
+  announceEngineStates("up", "up");
   runFor(0.2);
   EXPECT_EQ(attempts(decodeEngine), 0U);
 }
 
 TEST_F(EdgesTest, DisconnectsAfterAnAttemptHasFailed) {
-  int asked = 0;
+  int attemptsSeen = 0;
   std::shared_ptr<Peer> peer;
   prefillEngine.script = [&](Peer& p, const http1::Request& r) {
     if (answerRelease(p, r)) return;
-    if (++asked > 1) return;
-    peer->connection.close();  // in the same moment as the answer that asks for a further attempt
+    if (++attemptsSeen > 1) return;
+    peer->connection.close();  // in the same moment as the response that causes a retry
     p.send("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
   };
   startNode();
   peer = sendFromNewClient(chatRequest("again"));
-  ASSERT_TRUE(runUntil([&] { return asked >= 1; }));
-  EXPECT_TRUE(over());
-  const int then = asked;
+  ASSERT_TRUE(runUntil([&] { return attemptsSeen >= 1; }));
+  EXPECT_TRUE(obligationsEnd());
+  const int then = attemptsSeen;
   runFor(0.3);
-  EXPECT_EQ(asked, then);  // nothing begins later
+  EXPECT_EQ(attemptsSeen, then);  // nothing begins later
 }
 
 TEST_F(EdgesTest, DisconnectsWithPipelinedRequestsThatWereNotRead) {
-  prefillEngine.script = hold;
+  prefillEngine.script = leaveUnanswered;
   startNode();
   const std::string big(200 * 1024, 'x');  // more than the node keeps behind a request: it stops reading
   const auto peer = sendFromNewClient(chatRequest("first") +
@@ -122,7 +122,7 @@
   ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) == 1; }));
   runFor(0.2);
   peer->connection.close();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   runFor(0.1);
   EXPECT_EQ(attempts(prefillEngine), 1U);
 }
@@ -140,7 +140,7 @@
   peer->connection.suspend(true);
   runFor(0.2);
   peer->connection.abort();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   EXPECT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
 }
 
@@ -156,12 +156,12 @@
 }
 
 TEST_F(EdgesTest, AClientThatHalfClosesHasDisconnected) {
-  prefillEngine.script = hold;
+  prefillEngine.script = leaveUnanswered;
   startNode();
   const auto peer = sendFromNewClient(chatRequest("half"));
   ASSERT_TRUE(runUntil([&] { return attempts(prefillEngine) == 1; }));
   peer->connection.shutdownWrite();
-  EXPECT_TRUE(over());
+  EXPECT_TRUE(obligationsEnd());
   EXPECT_TRUE(runUntil([&] { return peer->closed; }));
   EXPECT_EQ(peer->received, "");
 }
@@ -356,9 +356,9 @@
   sockets = 96;
   discovery.script = [](Peer& peer, const http1::Request&) { peer.connection.abort(); };
   startNode();
-  std::vector<std::shared_ptr<Peer>> crowd;
-  crowd.reserve(150);
-  for (int i = 0; i < 150; ++i) crowd.push_back(client());
+  std::vector<std::shared_ptr<Peer>> clients;
+  clients.reserve(150);
+  for (int i = 0; i < 150; ++i) clients.push_back(client());
   runFor(0.3);
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("served"))), 200);
   EXPECT_LE(node->frontend().server().connectionCount(), 40U);
@@ -377,15 +377,15 @@
   };
   startNode();
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("told"))), 200);
-  std::vector<int> told;
+  std::vector<int> budgets;
   for (const auto& r : prefillEngine.requests) {
-    if (r.method == "POST") told.push_back(std::stoi(*r.fields.find("X-Budget-Ms")));
+    if (r.method == "POST") budgets.push_back(std::stoi(*r.fields.find("X-Budget-Ms")));
   }
-  ASSERT_GE(told.size(), 2U);
-  EXPECT_LE(told[0], 4800);
-  EXPECT_LE(told[1], 4500);  // 0.3 s have gone by
-  EXPECT_LT(told[1], told[0]);
-  EXPECT_LE(std::stoi(*decodeEngine.requests.front().fields.find("X-Budget-Ms")), told[1]);
+  ASSERT_GE(budgets.size(), 2U);
+  EXPECT_LE(budgets[0], 4800);
+  EXPECT_LE(budgets[1], 4500);  // 0.3 s have gone by
+  EXPECT_LT(budgets[1], budgets[0]);
+  EXPECT_LE(std::stoi(*decodeEngine.requests.front().fields.find("X-Budget-Ms")), budgets[1]);
 }
 
 TEST_F(EdgesTest, WhatWasNeverForwardedIsRejectedNotFailed) {
--- a/tests/endings_fixture.h
+++ b/tests/endings_fixture.h
@@ -24,18 +24,18 @@
 
 class EndingsTest : public SteppedTest {
  protected:
-  bool over() {
+  bool obligationsEnd() {
     return happensWithin(1, [&] { return node->core().pendingObligations() == 0; });
   }
   void drain() {
     node->drain([this] { ++drained; });
     runUntilIdle();
   }
-  bool ended() {
+  bool shutdownEnds() {
     return happensWithin(10, [&] { return drained > 0; });
   }
   // A stream whose first event has reached its client.
-  std::shared_ptr<Peer> streaming(const std::string& id) {
+  std::shared_ptr<Peer> startStream(const std::string& id) {
     decodeEngine.script = [](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
     };
@@ -43,13 +43,13 @@
     EXPECT_TRUE(happensWithin(1, [&] { return peer->hasReceived("\"a\""); }));
     return peer;
   }
-  Peer& writing() { return *decodeEngine.peers.back(); }
+  Peer& latestDecodePeer() { return *decodeEngine.peers.back(); }
   std::vector<int> budgets(const ScriptedServer& engine) const {
-    std::vector<int> told;
+    std::vector<int> values;
     for (const auto& r : engine.requests) {
-      if (r.method == "POST") told.push_back(std::stoi(*r.fields.find("X-Budget-Ms")));
+      if (r.method == "POST") values.push_back(std::stoi(*r.fields.find("X-Budget-Ms")));
     }
-    return told;
+    return values;
   }
 
   int drained = 0;
--- a/tests/engine_client_test.cpp
+++ b/tests/engine_client_test.cpp
@@ -109,7 +109,7 @@
   }));
 }
 
-// A success that is not the read's own has still run: what it has left is let go of.
+// A success that is not the prefill's own has still run: the state that it has left is released.
 TEST_F(EngineClientTest, APrefillThatEndsWithAnotherSuccessIsReleased) {
   int reads = 0;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
--- a/tests/engine_endings_test.cpp
+++ b/tests/engine_endings_test.cpp
@@ -34,15 +34,15 @@
   net::Loop& on = loop;
   http1::ClientOptions options;
   options.maxConnections = 1;
-  IgnoringEventHandler sink;
-  EngineClient engines(on, options, sink);
+  IgnoringEventHandler handler;
+  EngineClient engines(on, options, handler);
   const Configuration c = configurationOf(configurationJson());
   engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
   prefillEngine.script = leaveUnanswered;
-  auto work = std::make_shared<router::RequestPayload>();
-  work->target = "/v1/chat/completions?x=1";
-  work->prompt = "{}";
-  engines.start(router::StartPrefill{1, 1, "taken", 0, engineIdOf("r1"), Duration(4), Duration(4), work});
+  auto payload = std::make_shared<router::RequestPayload>();
+  payload->target = "/v1/chat/completions?x=1";
+  payload->prompt = "{}";
+  engines.start(router::StartPrefill{1, 1, "taken", 0, engineIdOf("r1"), Duration(4), Duration(4), payload});
   runUntilIdle();
   engines.releaseState(router::ReleaseState{"later", 0, engineIdOf("r1")});
   advance(1);
@@ -103,7 +103,8 @@
                                 .dump() +
                             "\n"));
   advance(0.1);
-  EXPECT_EQ(statusOf(peer), 200);  // by the other reader, well before the connection would have been given up
+  EXPECT_EQ(statusOf(peer),
+            200);  // by the other prefill engine, well before the connection would have timed out
   EXPECT_EQ(attemptCount(prefillEngine), 1U);
 }
 
@@ -144,7 +145,7 @@
   EXPECT_NE(taken.receive().find("X-Call-Id: once"), std::string::npos);
   taken.reset();
   EXPECT_TRUE(happensWithin(4, [&] { return peer->hasReceived("HTTP/1.1"); }));
-  EXPECT_EQ(statusOf(peer), 502);  // at most once: it may have run, so it is neither sent again nor refused
+  EXPECT_EQ(statusOf(peer), 502);  // at most once: it may have run, so it is neither retried nor rejected
   advance(1);
   fcntl(listener.fd(), F_SETFL, O_NONBLOCK);
   EXPECT_LT(::accept(listener.fd(), nullptr, nullptr), 0) << "no other connection was made";
@@ -156,9 +157,9 @@
   socklen_t size = sizeof address;
   ASSERT_EQ(::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
   getsockname(listener.fd(), reinterpret_cast<sockaddr*>(&address), &size);
-  // The call is begun, and the loop hears that its connection stands only after some time has gone by.
-  std::string told;
-  struct Sink final : http1::ResponseHandler {
+  // The call is started, and the loop learns that its connection is up only after some time.
+  std::string statedBudget;
+  struct IgnoringResponse final : http1::ResponseHandler {
     void onHead(const http1::ResponseHead&) override {}
     void onBody(std::string_view) override {}
     void onEnd(http1::CallResult, const std::string&) override {}
@@ -168,29 +169,30 @@
   calls.start(
       {"127.0.0.1", prefillEngine.listener.port()},
       [&] {
-        told = std::to_string(std::lround((until - loop.now()).count() * 1000));
-        return "POST /x HTTP/1.1\r\nX-Budget-Ms: " + told + "\r\nContent-Length: 0\r\n\r\n";
+        statedBudget = std::to_string(std::lround((until - loop.now()).count() * 1000));
+        return "POST /x HTTP/1.1\r\nX-Budget-Ms: " + statedBudget + "\r\nContent-Length: 0\r\n\r\n";
       },
-      nullptr, std::make_shared<Sink>());
-  EXPECT_EQ(told, "");
+      nullptr, std::make_shared<IgnoringResponse>());
+  EXPECT_EQ(statedBudget, "");
   advance(0.005);
-  EXPECT_EQ(told, "995");
+  EXPECT_EQ(statedBudget, "995");
 }
 
-// What an engine is told is true at the write, not at the start of the iteration that came to it.
+// The stated budget is correct at the send, not at the start of the loop's iteration.
 TEST_F(EngineEndingsTest, AStatedBudgetCountsTheTimeOfTheIteration) {
-  IgnoringEventHandler sink;
-  EngineClient engines(loop, {}, sink);
+  IgnoringEventHandler handler;
+  EngineClient engines(loop, {}, handler);
   const Configuration c = configurationOf(configurationJson());
   engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
-  auto work = std::make_shared<router::RequestPayload>();
-  work->target = "/v1/chat/completions?x=1";
-  work->prompt = "{}";
-  engines.start(router::StartPrefill{1, 1, "opens", 0, engineIdOf("r1"), Duration(2), Duration(2), work});
+  auto payload = std::make_shared<router::RequestPayload>();
+  payload->target = "/v1/chat/completions?x=1";
+  payload->prompt = "{}";
+  engines.start(router::StartPrefill{1, 1, "opens", 0, engineIdOf("r1"), Duration(2), Duration(2), payload});
   advance(0.2);  // its connection may be used again
   loop.defer([&] {
     stall(0.4);
-    engines.start(router::StartPrefill{2, 2, "held-up", 0, engineIdOf("r1"), Duration(2), Duration(2), work});
+    engines.start(
+        router::StartPrefill{2, 2, "held-up", 0, engineIdOf("r1"), Duration(2), Duration(2), payload});
   });
   runUntilIdle();
   EXPECT_EQ(prefillEngine.peers.size(), 1U);
--- a/tests/engine_list_message_test.cpp
+++ b/tests/engine_list_message_test.cpp
@@ -39,9 +39,9 @@
   EXPECT_FALSE(splitter.feed("  ", none));
   EXPECT_FALSE(splitter.feed("{\"index\": 3,\n \"endpoints\": [\n", none));
   EXPECT_FALSE(splitter.feed("\n\n", none));
-  int told = 0;
-  EXPECT_TRUE(splitter.feed("]}", [&](const std::string&) { ++told; }));
-  EXPECT_EQ(told, 1);
+  int delivered = 0;
+  EXPECT_TRUE(splitter.feed("]}", [&](const std::string&) { ++delivered; }));
+  EXPECT_EQ(delivered, 1);
 }
 
 TEST(JsonStreamSplitter, SurvivesRandomBytes) {
@@ -77,7 +77,7 @@
   const auto at = [](double s) { return Instant(Duration(s)); };
   EXPECT_EQ(version.classify(41, true, at(0)), V::kApply);
   EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);
-  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);  // told once more: the same
+  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);  // repeated: the same
   EXPECT_EQ(version.classify(40, true, at(2)), V::kResync);  // a replica that lags
   EXPECT_EQ(version.classify(44, false, at(2.1)), V::kApply);
   EXPECT_EQ(version.classify(2, false, at(10)), V::kResync);
--- a/tests/engine_response_test.cpp
+++ b/tests/engine_response_test.cpp
@@ -1,8 +1,8 @@
 // What responses of engines mean: statuses, load reports and streams of events, without sockets.
-#include <gtest/gtest.h>
-
 #include "platform/engine_response.h"
 
+#include <gtest/gtest.h>
+
 #include "platform/load_report.h"
 #include "platform_peers.h"
 
@@ -43,13 +43,13 @@
       "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n" + kDone;
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}, bytes.size()}) {
     EventStreamDecoder stream;
-    std::string told;
+    std::string delivered;
     for (std::size_t i = 0; i < bytes.size(); i += step)
-      ASSERT_TRUE(
-          stream.feed(std::string_view(bytes).substr(i, step), [&](const std::string& e) { told += e; }));
+      ASSERT_TRUE(stream.feed(std::string_view(bytes).substr(i, step),
+                              [&](const std::string& e) { delivered += e; }));
     EXPECT_TRUE(stream.finish([](const std::string&) {}));
-    EXPECT_EQ(told.find(": X-Load"), std::string::npos);
-    EXPECT_EQ(told.substr(0, 10), eventOf("a").substr(0, 10));
+    EXPECT_EQ(delivered.find(": X-Load"), std::string::npos);
+    EXPECT_EQ(delivered.substr(0, 10), eventOf("a").substr(0, 10));
     EXPECT_DOUBLE_EQ(stream.cachedTokens(), 4096);
     EXPECT_DOUBLE_EQ(*stream.loadReport()->memoryUtilization, 0.5);
   }
--- a/tests/frontend_test.cpp
+++ b/tests/frontend_test.cpp
@@ -107,9 +107,9 @@
 TEST_F(FrontendTest, ManySilentConnectionsLeaveCapacityForOthers) {
   sockets = 64;
   startNode();
-  std::vector<std::shared_ptr<Peer>> crowd;
-  crowd.reserve(200);
-  for (int i = 0; i < 200; ++i) crowd.push_back(client());
+  std::vector<std::shared_ptr<Peer>> clients;
+  clients.reserve(200);
+  for (int i = 0; i < 200; ++i) clients.push_back(client());
   runFor(0.05);
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("good"))), 200);
   EXPECT_LE(node->frontend().server().connectionCount(),
@@ -120,18 +120,18 @@
   sockets = 64;
   prefillEngine.script = [](Peer&, const http1::Request&) {};  // answers nothing
   startNode();
-  const NodeLimits bounds = limitsOf(configurationOf(configurationJson()));
-  std::vector<std::shared_ptr<Peer>> crowd;
+  const NodeLimits limits = limitsOf(configurationOf(configurationJson()));
+  std::vector<std::shared_ptr<Peer>> clients;
   int refused = 0;
-  for (std::size_t i = 0; i <= bounds.maxOpenRequests; ++i)
-    crowd.push_back(sendFromNewClient(chatRequest("r" + std::to_string(i))));
+  for (std::size_t i = 0; i <= limits.maxOpenRequests; ++i)
+    clients.push_back(sendFromNewClient(chatRequest("r" + std::to_string(i))));
   ASSERT_TRUE(runUntil([&] {
     refused = 0;
-    for (const auto& peer : crowd)
+    for (const auto& peer : clients)
       refused += peer->hasReceived("HTTP/1.1 503") && peer->hasReceived("Retry-After: 1.000");
     return refused > 0;
   }));
-  EXPECT_LE(node->engineClient().connectionCount(), bounds.maxEngineConnections);
+  EXPECT_LE(node->engineClient().connectionCount(), limits.maxEngineConnections);
 }
 
 }  // namespace
--- a/tests/platform_daemon_test.cpp
+++ b/tests/platform_daemon_test.cpp
@@ -60,7 +60,7 @@
     const std::string log = logged();
     return static_cast<std::uint16_t>(std::stoi(log.substr(log.find(kSays) + kSays.size())));
   }
-  std::shared_ptr<Peer> asksProcess(const std::string& request) {
+  std::shared_ptr<Peer> sendToProcess(const std::string& request) {
     auto peer = std::make_shared<Peer>(loop);
     peer->connection.connect({"127.0.0.1", port()}, Duration(kTimeoutSeconds));
     peer->send(request);
@@ -79,7 +79,7 @@
     decodeEngine.script = [](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
     };
-    auto peer = asksProcess(chatRequest("open"));
+    auto peer = sendToProcess(chatRequest("open"));
     EXPECT_TRUE(runUntil([&] { return peer->hasReceived("\"a\""); }));
     return peer;
   }
@@ -100,7 +100,7 @@
   kill(process_, SIGTERM);
   ASSERT_TRUE(logs("draining"));
   EXPECT_TRUE(logs("configuration reloaded"));
-  const auto late = asksProcess(chatRequest("late"));
+  const auto late = sendToProcess(chatRequest("late"));
   EXPECT_EQ(statusOf(late), 503);
   decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
   EXPECT_TRUE(runUntil([&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
@@ -120,7 +120,7 @@
   std::ofstream(folder_ / "config.json") << "{\"name\": ";
   kill(process_, SIGHUP);
   EXPECT_TRUE(logs("not valid JSON"));
-  EXPECT_EQ(statusOf(asksProcess(chatRequest("still"))), 200);
+  EXPECT_EQ(statusOf(sendToProcess(chatRequest("still"))), 200);
   kill(process_, SIGTERM);
   EXPECT_EQ(exitCode(), 0);
 }
@@ -147,7 +147,7 @@
   runFor(0.3);
   writeConfiguration(configurationJson());
   EXPECT_NE(port(), 0);
-  EXPECT_EQ(statusOf(asksProcess(chatRequest("first"))), 200);
+  EXPECT_EQ(statusOf(sendToProcess(chatRequest("first"))), 200);
 }
 
 // The process that had the address before may still be at its end.
@@ -160,7 +160,7 @@
   EXPECT_TRUE(logs("cannot listen"));
   before.close();
   EXPECT_NE(port(), 0);
-  EXPECT_EQ(statusOf(asksProcess(chatRequest("first"))), 200);
+  EXPECT_EQ(statusOf(sendToProcess(chatRequest("first"))), 200);
 }
 
 TEST_F(PlatformDaemonTest, AnExitDoesNotWaitForALogThatNobodyReads) {
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,4 +1,4 @@
-// A whole node on the platform's protocol, with scripted clients, engines and a discovery on loopback.
+// A node on the platform's protocol, with scripted clients, engines and a discovery on loopback.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/platform_node_test.cpp
+++ b/tests/platform_node_test.cpp
@@ -1,4 +1,4 @@
-// A node as a whole: its engine list, a new configuration, the drain.
+// A complete node: its engine list, a new configuration, the drain.
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -23,7 +23,7 @@
 inline std::string eventOf(const std::string& text) { return "data: {\"content\":\"" + text + "\"}\n\n"; }
 inline const std::string kDone = "data: [DONE]\n\n";
 
-// One end of a connection: keeps what comes, sends what it is told.
+// One end of a connection: keeps all that it receives, sends what a test gives it.
 class Peer final : public net::ConnectionOwner {
  public:
   explicit Peer(net::Loop& loop) : connection(loop, *this) {}
@@ -38,6 +38,13 @@
     connection.append(text);
     connection.flush();
   }
+  void disconnect(bool reset) {
+    if (reset) {
+      connection.abort();
+    } else {
+      connection.close();
+    }
+  }
   bool hasReceived(const std::string& text) const { return received.find(text) != std::string::npos; }
 
   net::Connection connection;
--- a/tests/release_dispatcher_test.cpp
+++ b/tests/release_dispatcher_test.cpp
@@ -52,7 +52,7 @@
 
 // An engine that is off the list may run on, and takes a release as well as any other; it comes last.
 TEST_F(ReleaseDispatcherTest, ARemovedEngineIsCalledWhereNoOtherAnswers) {
-  std::vector<bool> offTheList;  // of the engines asked, in turn
+  std::vector<bool> offTheList;  // of the engines called, in turn
   ScriptedServer onTheList(loop, [&](Peer&, const http1::Request&) { offTheList.push_back(false); });
   ScriptedServer removed(loop, [&](Peer& peer, const http1::Request&) {
     offTheList.push_back(true);
@@ -92,7 +92,7 @@
 }
 
 // Many releases at once and one engine that answers, late: the calls to silent engines do not keep it from
-// being asked, and what it answers first brings it all the others.
+// being called, and its first answer brings it all the others.
 TEST_F(ReleaseDispatcherTest, ManyReleasesAtOnceReachTheOneSlowEngineThatRuns) {
   constexpr int kReleases = 40, kSilent = 7;
   const Duration kAnswersAfter{0.3};
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -20,7 +20,7 @@
   advance(0.1);
   EXPECT_EQ(statusOf(peer), 503);
   EXPECT_TRUE(peer->hasReceived("Connection: close"));
-  EXPECT_TRUE(ended());
+  EXPECT_TRUE(shutdownEnds());
   EXPECT_EQ(attemptCount(prefillEngine), 0U);
 }
 
@@ -59,19 +59,19 @@
   const auto peer = sendFromNewClient(chatRequest("held"));
   ASSERT_TRUE(happensWithin(1, [&] { return attemptCount(prefillEngine) == 1; }));
   peer->connection.close();
-  ASSERT_TRUE(over());
+  ASSERT_TRUE(obligationsEnd());
   drain();
   advance(0.5);
   const auto answers = [](Peer& p, const http1::Request& r) { answerRelease(p, r); };
   prefillEngine.script = decodeEngine.script = answers;
-  EXPECT_TRUE(ended());
+  EXPECT_TRUE(shutdownEnds());
   EXPECT_GE(releaseCount("held"), 1U);
   EXPECT_EQ(node->engineClient().auxiliaryCalls(), 0U);
 }
 
 TEST_F(ShutdownTest, ASecondSignalAndAReloadDoNotEndTwiceOrDelayTheShutdown) {
   startNode();
-  const auto peer = streaming("open");
+  const auto peer = startStream("open");
   drain();
   drain();
   Json fresh = configurationJson();
@@ -79,19 +79,19 @@
   node->reload(configurationOf(fresh));
   advance(1.5);
   EXPECT_EQ(drained, 0);
-  writing().send(chunkOf(kDone) + "0\r\n\r\n");
-  EXPECT_TRUE(ended());
+  latestDecodePeer().send(chunkOf(kDone) + "0\r\n\r\n");
+  EXPECT_TRUE(shutdownEnds());
   advance(1);
   EXPECT_EQ(drained, 1);
   EXPECT_TRUE(peer->hasReceived("0\r\n\r\n"));
 }
 
-// The sockets are used directly: their bytes are with the kernel, and no event has told the node of them.
+// The sockets are used directly: their bytes are with the kernel, and no event has reported them to the node.
 TEST_F(ShutdownTest, AConnectionInTheKernelsQueueIsAnsweredWhenTheListenerCloses) {
-  std::vector<std::shared_ptr<http1::Exchange>> asked;
+  std::vector<std::shared_ptr<http1::Exchange>> exchanges;
   http1::Server server(loop, {}, {}, [&](std::shared_ptr<http1::Exchange> exchange) {
     exchange->respond(503, "", "", true);
-    asked.push_back(std::move(exchange));
+    exchanges.push_back(std::move(exchange));
   });
   RawSocket late, fresh;
   ASSERT_TRUE(fresh.connect(server.port()));
@@ -102,18 +102,20 @@
   late.send("GET / HTTP/1.1\r\n\r\n");
   server.shutdown();
   runUntilIdle();
-  EXPECT_EQ(asked.size(), 2U);
+  EXPECT_EQ(exchanges.size(), 2U);
   for (RawSocket* const socket : {&fresh, &late}) EXPECT_EQ(socket->receive().substr(0, 12), "HTTP/1.1 503");
 }
 
-// A connection whose reading was held back, and whose client has gone meanwhile, is found closed by the drain
-// itself, while it goes through all connections.
+// A connection whose reading was paused, and whose client has disconnected meanwhile, is found closed by the
+// drain itself, while it iterates over all connections.
 TEST_F(ShutdownTest, ConnectionsThatCloseWhileAllAreDrainedAreDroppedOnce) {
-  std::vector<std::shared_ptr<http1::Exchange>> asked;
-  http1::Server server(
-      loop, {}, {}, [&](std::shared_ptr<http1::Exchange> exchange) { asked.push_back(std::move(exchange)); });
+  std::vector<std::shared_ptr<http1::Exchange>> exchanges;
+  http1::Server server(loop, {}, {}, [&](std::shared_ptr<http1::Exchange> exchange) {
+    exchanges.push_back(std::move(exchange));
+  });
   std::vector<std::unique_ptr<RawSocket>> sockets;
-  // More than may wait behind a request, so that reading is held, and less beyond it than is read in one go.
+  // More than may wait behind a request, so that reading is paused, and less beyond it than is read in one
+  // go.
   const std::size_t most = http1::Limits{}.maxPipelinedBytes + net::Connection::kReadBudget / 4;
   const std::string behind(most / 8, 'b');
   for (int i = 0; i < 4; ++i) {
@@ -125,11 +127,11 @@
       advance(0.005);
     }
   }
-  ASSERT_EQ(asked.size(), 4U);
-  for (const auto& exchange : asked) exchange->respond(200, "", "");
+  ASSERT_EQ(exchanges.size(), 4U);
+  for (const auto& exchange : exchanges) exchange->respond(200, "", "");
   for (const auto& socket : sockets) socket->reset();
   deliverSentBytes();
-  server.drain();  // in the same turn: no event has told of the resets
+  server.drain();  // in the same turn: no event has reported the resets
   EXPECT_EQ(server.connectionCount(), 0U);
   server.shutdown();
   runUntilIdle();
--- a/tests/stalled_loop_test.cpp
+++ b/tests/stalled_loop_test.cpp
@@ -38,7 +38,7 @@
     runUntilIdle();
     ASSERT_FALSE(first.empty());
   }
-  // Two to the writer, which then rest: what is sent to it later leaves at once.
+  // Two to the decode engine, which are then idle: what is sent to it later leaves at once.
   void openConnections() {
     std::vector<Peer*> writing;
     decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
--- a/tests/startup_test.cpp
+++ b/tests/startup_test.cpp
@@ -15,9 +15,9 @@
   runUntilIdle();
   EXPECT_EQ(statusOf(early), 503);
   announceEngineStates(8, "up", "draining");
-  const auto told = sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n");
+  const auto head = sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n");
   runUntilIdle();
-  EXPECT_EQ(statusOf(told), 200);
+  EXPECT_EQ(statusOf(head), 200);
   node.reset();
   startNode();  // and where it is silent
   advance(0.5);
@@ -26,7 +26,7 @@
   EXPECT_EQ(statusOf(later), 200);
 }
 
-// What discovery has told counts as told after 6 s, and a node that is not ready after 30 s has failed to
+// A change must have reached the node after 6 s, and a node that is not ready after 30 s has failed to
 // start.
 TEST_F(StartupTest, ANodeWithoutAnyListIsReadyInTimeAndRejects) {
   discovery.listener.rejectConnections(true);
--- a/tests/stepped_time.h
+++ b/tests/stepped_time.h
@@ -1,4 +1,4 @@
-// A whole platform node on loopback sockets whose clock moves only when a test says so: what takes seconds in
+// A platform node on loopback sockets whose clock moves only when a test says so: what takes seconds in
 // service takes milliseconds here, and nothing depends on how busy the machine is.
 #pragma once
 
@@ -156,7 +156,7 @@
       runUntilIdle();
     }
   }
-  // What was sent before has been delivered, though no event has told of it.
+  // What was sent before has been delivered, though no event has reported it.
   void deliverSentBytes() { barrier_.pass(); }
   // The machine stands still in the middle of an iteration.
   void stall(double seconds) { *time_ = now() + Duration(seconds); }
@@ -189,12 +189,14 @@
     }
     return open;
   }
-  void announceEngineStates(std::uint64_t index, const std::string& readerIs, const std::string& writerIs) {
-    openWatch()->send(chunkOf(engineListJson(index, false,
-                                             {engineJson("r1", "prefill", prefillEngine.address(), readerIs),
-                                              engineJson("w1", "decode", decodeEngine.address(), writerIs)})
-                                  .dump() +
-                              "\n"));
+  void announceEngineStates(std::uint64_t index, const std::string& prefillStatus,
+                            const std::string& decodeStatus) {
+    openWatch()->send(
+        chunkOf(engineListJson(index, false,
+                               {engineJson("r1", "prefill", prefillEngine.address(), prefillStatus),
+                                engineJson("w1", "decode", decodeEngine.address(), decodeStatus)})
+                    .dump() +
+                "\n"));
     runUntilIdle();
   }
 
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -9,7 +9,7 @@
 
 class StreamEndingsTest : public SteppedTest {
  protected:
-  // Starts a node whose writer answers with `bytes`, and asks once.
+  // Starts a node whose decode engine responds with `bytes`, and sends one request.
   std::shared_ptr<Peer> streamBegins(const std::string& bytes) {
     decodeEngine.script = [bytes](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(bytes);
@@ -20,12 +20,12 @@
     runUntilIdle();
     return peer;
   }
-  Peer& writing() { return *decodeEngine.peers.back(); }
+  Peer& latestDecodePeer() { return *decodeEngine.peers.back(); }
   // Sends one piece every 0.2 s until the client's connection has ended; how long that took.
   double trickledUntilClosed(const std::shared_ptr<Peer>& peer, const std::string& piece) {
     const Instant from = now();
     while (!peer->closed && now() - from < Duration(30)) {
-      if (!writing().closed) writing().send(piece);
+      if (!latestDecodePeer().closed) latestDecodePeer().send(piece);
       advance(0.2);
     }
     return (now() - from).count();
@@ -44,20 +44,20 @@
   std::string sent;
   for (int i = 0; i < 20; ++i) {
     const std::string event = eventOf("e" + std::to_string(i));
-    // Once whole, once over two chunks, once with the boundary inside a chunk's own bytes.
+    // Once in one chunk, once over two chunks, once with the boundary inside a chunk's own bytes.
     const std::string first = event.substr(0, 9), second = event.substr(9);
-    if (i % 3 == 0) writing().send(chunkOf(event));
+    if (i % 3 == 0) latestDecodePeer().send(chunkOf(event));
     if (i % 3 == 1) {
-      writing().send(chunkOf(first));
+      latestDecodePeer().send(chunkOf(first));
       runUntilIdle();
       EXPECT_EQ(bodyOf(peer->received), sent);  // half an event is not passed on
-      writing().send(chunkOf(second));
+      latestDecodePeer().send(chunkOf(second));
     }
     if (i % 3 == 2) {
       const std::string chunk = chunkOf(event);
-      writing().send(chunk.substr(0, 7));
+      latestDecodePeer().send(chunk.substr(0, 7));
       runUntilIdle();
-      writing().send(chunk.substr(7));
+      latestDecodePeer().send(chunk.substr(7));
     }
     sent += event;
     runUntilIdle();
@@ -66,7 +66,7 @@
   std::string many;
   for (int i = 0; i < 50; ++i) many += chunkOf(eventOf("m" + std::to_string(i)));
   const std::size_t before = peer->received.size();
-  writing().send(many);
+  latestDecodePeer().send(many);
   runUntilIdle();
   EXPECT_EQ(peer->received.substr(before), many);  // one by one, in one segment
 }
@@ -75,7 +75,7 @@
   const std::string event = "data: {\"content\":\"a\"}\r\n\r\n", last = "data: [DONE]\r\n\r\n";
   const auto peer = streamBegins(kStreamHead + chunkOf(event));
   EXPECT_EQ(bodyOf(peer->received), event);
-  writing().send(chunkOf(last) + "0\r\n\r\n");
+  latestDecodePeer().send(chunkOf(last) + "0\r\n\r\n");
   runUntilIdle();
   EXPECT_EQ(bodyOf(peer->received), event + last);
   EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
@@ -86,10 +86,10 @@
   announceEngineStates(8, "up", "draining");
   announceEngineStates(9, "up", "removed");
   advance(3);
-  writing().send(chunkOf(eventOf("b")));
+  latestDecodePeer().send(chunkOf(eventOf("b")));
   advance(3);
-  writing().send(chunkOf(kDone) + "0\r\n\r\n");
-  writing().connection.abort();
+  latestDecodePeer().send(chunkOf(kDone) + "0\r\n\r\n");
+  latestDecodePeer().connection.abort();
   runUntilIdle();
   EXPECT_EQ(bodyOf(peer->received), eventOf("a") + eventOf("b") + kDone);
   EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
@@ -109,8 +109,8 @@
   shrinkSendBufferOfPeer(slow);
   slow.send(chatRequest("slow"));
   advance(0.1);
-  ASSERT_EQ(writing().connection.pendingBytes(), 0U);
-  writing().connection.close();
+  ASSERT_EQ(latestDecodePeer().connection.pendingBytes(), 0U);
+  latestDecodePeer().connection.close();
   advance(1);
   std::string got;
   for (int i = 0; i < 2000 && got.find("\r\n0\r\n\r\n") == std::string::npos; ++i) {
@@ -158,11 +158,11 @@
   std::string ahead;
   for (int i = 0; i < 60; ++i) {
     const std::string chunk = chunkOf(eventOf("n" + std::to_string(i)));
-    writing().send(ahead + chunk.substr(0, 8));
+    latestDecodePeer().send(ahead + chunk.substr(0, 8));
     ahead = chunk.substr(8);
     advance(0.1);
   }
-  writing().send(ahead + chunkOf(kDone) + "0\r\n\r\n");
+  latestDecodePeer().send(ahead + chunkOf(kDone) + "0\r\n\r\n");
   runUntilIdle();
   EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
   EXPECT_TRUE(peer->hasReceived("n59"));
@@ -173,9 +173,9 @@
   for (int i = 0; i < 5; ++i) {
     advance(3.5);
     EXPECT_FALSE(peer->closed);
-    writing().send(chunkOf(eventOf("b")));
+    latestDecodePeer().send(chunkOf(eventOf("b")));
   }
-  writing().send(chunkOf(kDone) + "0\r\n\r\n");
+  latestDecodePeer().send(chunkOf(kDone) + "0\r\n\r\n");
   runUntilIdle();
   EXPECT_TRUE(peer->hasReceived("\r\n0\r\n\r\n"));
 }
@@ -219,10 +219,10 @@
   }();
   const Instant from = now();
   while (!peer->hasReceived("HTTP/1.1") && now() - from < Duration(20)) {
-    if (!writing().closed) writing().send("X: y\r\n");
+    if (!latestDecodePeer().closed) latestDecodePeer().send("X: y\r\n");
     advance(0.2);
   }
-  EXPECT_EQ(statusOf(peer), 502);  // at most once: not sent again, and not refused
+  EXPECT_EQ(statusOf(peer), 502);  // at most once: not retried, and not rejected
   EXPECT_EQ(attemptCount(decodeEngine), 1U);
 }
 
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -26,13 +26,13 @@
   }
   static void heal() { soak::faultPlan() = {}; }
   // A client that is outside the node's loop, so that the faults are the node's alone.
-  void connectAndAsk(RawSocket& client, const std::string& id) {
+  void connectAndSend(RawSocket& client, const std::string& id) {
     ASSERT_TRUE(client.connect(node->port()));
     client.send(chatRequest(id));
   }
 };
 
-// Counts what it is told.
+// Counts the ends that are reported.
 class CountingResponseHandler final : public http1::ResponseHandler {
  public:
   void onHead(const http1::ResponseHead&) override {}
@@ -49,7 +49,7 @@
   startNode();
   runUntilIdle();
   RawSocket client;
-  connectAndAsk(client, "unwatched");
+  connectAndSend(client, "unwatched");
   fail(FaultyCall::kWatch, ENOMEM, 3);
   std::string got;
   EXPECT_TRUE(
@@ -71,7 +71,7 @@
   EXPECT_LT(net::monotonicNow() - before, Duration(kTimeoutSeconds / 2)) << "the post has woken it";
 }
 
-// What the machine lacks for a moment is told apart from a file that is not there: a start waits for it.
+// A shortage of the machine differs from a file that is missing: a start waits for its end.
 TEST_F(SystemCallsTest, AConfigurationThatCannotBeOpenedForAMomentIsNoBadOne) {
   const std::string path = "/proc/self/status";
   const auto faultOf = [&](int error) -> std::string {
@@ -142,7 +142,7 @@
   EXPECT_EQ(attemptCount(prefillEngine), std::size(kFaults));
 }
 
-// The connection goes on to come up, as after EINPROGRESS.
+// The connection still comes up, as after EINPROGRESS.
 TEST_F(SystemCallsTest, AConnectThatASignalInterruptsGoesOn) {
   http1::Client client(loop, {});
   const auto sink = std::make_shared<CountingResponseHandler>();
@@ -181,7 +181,7 @@
   }
 }
 
-// A list that was saved whole stays, whatever fails as the next one is saved; what fails is counted.
+// A list that was saved completely stays, whatever fails as the next one is saved; what fails is counted.
 TEST_F(SystemCallsTest, ASavedListIsReplacedByAWholeOneOrNotAtAll) {
   const auto path =
       std::filesystem::temp_directory_path() / ("gannetcourse-saved-" + std::to_string(getpid()));
--- a/tests/watch_endings_test.cpp
+++ b/tests/watch_endings_test.cpp
@@ -1,4 +1,4 @@
-// Watches that break at the worst moment: what discovery has told counts within the page's clocks all the
+// Watches that break at the worst moment: changes reach the node within the limits of the protocol all the
 // same.
 #include "stepped_time.h"
 
@@ -7,12 +7,12 @@
 
 using namespace test;
 
-constexpr double kToldWithin = 6;       // after a watch fell silent, or a change was there to be had
-constexpr double kToldAfterReload = 4;  // after SIGHUP moved discovery
+constexpr double kPropagationLimit = 6;  // after a watch fell silent, or a change was there to be had
+constexpr double kPropagationLimitAfterReload = 4;  // after SIGHUP moved discovery
 
 class WatchEndingsTest : public SteppedTest {
  protected:
-  // Discovery as it is: every watch gets the list as it stands, while it speaks at all.
+  // Every watch gets the list as it stands, while discovery delivers at all.
   void speak() {
     discovery.script = [this](Peer& peer, const http1::Request&) {
       if (!silent) peer.send(kStreamHead + chunkOf(list()));
@@ -37,11 +37,11 @@
     ++index;
     drains = true;
   }
-  bool told(double seconds) {
+  bool appliesListWithin(double seconds) {
     return happensWithin(seconds, [&] { return node->listIndex() == index; });
   }
-  // Once the only writer drains, requests go nowhere.
-  void expectNothingGoesToTheWriter() {
+  // Once the only decode engine drains, no request is forwarded.
+  void expectNothingReachesTheDecodeEngine() {
     const std::size_t before = attemptCount(decodeEngine);
     const auto peer = sendFromNewClient(chatRequest("probe" + std::to_string(index), "", "chat", "300"));
     advance(0.5);
@@ -51,7 +51,7 @@
   void breakWatches(bool reset) {
     for (const auto& peer : discovery.peers) {
       if (peer->closed) continue;
-      reset ? peer->connection.abort() : peer->connection.close();
+      peer->disconnect(reset);
       peer->closed = true;
     }
   }
@@ -67,10 +67,10 @@
     drains = silent = false;
     speak();
     startNode();
-    ASSERT_TRUE(told(1));
+    ASSERT_TRUE(appliesListWithin(1));
     drainUnheard();  // the open watch says nothing from here on, new ones speak
-    EXPECT_TRUE(told(kToldWithin));
-    expectNothingGoesToTheWriter();
+    EXPECT_TRUE(appliesListWithin(kPropagationLimit));
+    expectNothingReachesTheDecodeEngine();
     node.reset();
     runUntilIdle();
   }
@@ -79,17 +79,17 @@
 TEST_F(WatchEndingsTest, SilentAfterThirteenSecondsOfActivity) {
   speak();
   startNode();
-  ASSERT_TRUE(told(1));
+  ASSERT_TRUE(appliesListWithin(1));
   emptyLines(discovery);
   advance(13);
-  EXPECT_EQ(discovery.requests.size(), 1U);  // it shows life: no second one is needed
+  EXPECT_EQ(discovery.requests.size(), 1U);  // it is alive: no second one is needed
   silent = true;
   drainUnheard();
   advance(0.1);
   silent = false;
   for (const auto& peer : discovery.peers) peer->received = "silent";  // of those that are open
-  EXPECT_TRUE(told(kToldWithin));
-  expectNothingGoesToTheWriter();
+  EXPECT_TRUE(appliesListWithin(kPropagationLimit));
+  expectNothingReachesTheDecodeEngine();
 }
 
 TEST_F(WatchEndingsTest, ResetSecondsBeforeADrain) {
@@ -97,15 +97,15 @@
     drains = false;
     speak();
     startNode();
-    ASSERT_TRUE(told(1));
+    ASSERT_TRUE(appliesListWithin(1));
     breakWatches(reset);
     advance(2);
     ++index;
     drains = true;
-    ASSERT_NE(openWatch(), nullptr);  // it has been opened anew by now, and tells the change at once
+    ASSERT_NE(openWatch(), nullptr);  // it has been opened anew by now, and delivers the change at once
     openWatch()->send(chunkOf(list()));
-    EXPECT_TRUE(told(0));
-    expectNothingGoesToTheWriter();
+    EXPECT_TRUE(appliesListWithin(0));
+    expectNothingReachesTheDecodeEngine();
     node.reset();
     runUntilIdle();
   }
@@ -114,25 +114,25 @@
 TEST_F(WatchEndingsTest, SilentAsAReloadMovesIt) {
   speak();
   startNode();
-  ASSERT_TRUE(told(1));
-  int asked = 0;
+  ASSERT_TRUE(appliesListWithin(1));
+  int watchesSeen = 0;
   ScriptedServer other(loop, [&](Peer& peer, const http1::Request&) {
-    if (++asked > 1) peer.send(kStreamHead + chunkOf(list()));  // its first watch never speaks
+    if (++watchesSeen > 1) peer.send(kStreamHead + chunkOf(list()));  // its first watch never delivers
   });
   Json fresh = configurationJson();
   fresh["discovery"] = other.address();
   silent = true;
   drainUnheard();
   node->reload(configurationOf(fresh));
-  EXPECT_TRUE(told(kToldAfterReload));
-  expectNothingGoesToTheWriter();
+  EXPECT_TRUE(appliesListWithin(kPropagationLimitAfterReload));
+  expectNothingReachesTheDecodeEngine();
   node.reset();
 }
 
 TEST_F(WatchEndingsTest, TheOldAddressClosesAsAReloadMovesIt) {
   speak();
   startNode();
-  ASSERT_TRUE(told(1));
+  ASSERT_TRUE(appliesListWithin(1));
   ScriptedServer other(loop,
                        [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
   other.listener.rejectConnections(true);
@@ -143,8 +143,8 @@
   drainUnheard();
   advance(1);
   other.listener.rejectConnections(false);
-  EXPECT_TRUE(told(kToldAfterReload));
-  expectNothingGoesToTheWriter();
+  EXPECT_TRUE(appliesListWithin(kPropagationLimitAfterReload));
+  expectNothingReachesTheDecodeEngine();
   node.reset();
 }
 
@@ -153,7 +153,7 @@
     drains = silent = false;
     speak();
     startNode();
-    ASSERT_TRUE(told(1));
+    ASSERT_TRUE(appliesListWithin(1));
     silent = true;
     breakWatches(true);
     discovery.listener.rejectConnections(true);
@@ -161,8 +161,8 @@
     advance(away);
     discovery.listener.rejectConnections(false);
     silent = false;
-    EXPECT_TRUE(told(kToldWithin)) << away;
-    expectNothingGoesToTheWriter();
+    EXPECT_TRUE(appliesListWithin(kPropagationLimit)) << away;
+    expectNothingReachesTheDecodeEngine();
     node.reset();
     runUntilIdle();
   }
@@ -171,14 +171,14 @@
 TEST_F(WatchEndingsTest, BackInSilenceThenWithDrains) {
   speak();
   startNode();
-  ASSERT_TRUE(told(1));
+  ASSERT_TRUE(appliesListWithin(1));
   silent = true;
   breakWatches(true);
   advance(8);  // connections are taken, and nothing is said on them
   drainUnheard();
   silent = false;
-  EXPECT_TRUE(told(kToldWithin));
-  expectNothingGoesToTheWriter();
+  EXPECT_TRUE(appliesListWithin(kPropagationLimit));
+  expectNothingReachesTheDecodeEngine();
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -72,7 +72,7 @@
   return text;
 }
 
-// Classes, zones and kinds are told apart by their names and by nothing else that these may say.
+// Names distinguish classes, zones and kinds; what they mean to a reader changes nothing.
 TEST(Wire, NamesDecideNothing) {
   std::string input = frame(8.5, 1) + attach("n0");
   for (int i = 0; i < 5; ++i) input += demand("n0", "r" + std::to_string(i));
