--- a/lab/bench.cpp
+++ b/lab/bench.cpp
@@ -259,7 +259,7 @@
   OpenStreams(std::uint16_t port, int tokens) : tokens_(tokens) {
     grpc::ChannelOptions options;
     options.http2.maxStreams = kMaxStreams;
-    options.keepaliveEvery = Duration(0);
+    options.keepaliveInterval = Duration(0);
     for (int i = 0; i < kChannels; ++i)
       channels_.push_back(std::make_unique<grpc::Channel>(loop_, net::Endpoint{"127.0.0.1", port}, options));
   }
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -29,7 +29,7 @@
     grpc::ChannelOptions options;
     options.maxConnections = 1;
     options.connectTimeout = Duration(2);
-    options.keepaliveEvery = Duration(0);
+    options.keepaliveInterval = Duration(0);
     options.userAgent = "gannetcourse-lab client zone/" + zone;
     node.channels.push_back(std::make_unique<grpc::Channel>(testbed_.loop, endpoint, options));
     node.channels.back()->onStrayFrame = [this](http2::StreamId) { testbed_.ledger.onSecondResponse(); };
--- a/lab/fake_engine.cpp
+++ b/lab/fake_engine.cpp
@@ -24,11 +24,13 @@
     : testbed_(testbed), model_(std::move(spec)), server_(testbed.loop, net::Endpoint{}) {
   testbed_.byAddress[address()] = this;
   serve();
-  server_.silentTo = [this](const std::string& peer) {
+  server_.isSuspendedFor = [this](const std::string& peer) {
     return silent_ || testbed_.isCut(model_.spec().zone, zoneOf(peer));
   };
-  server_.onHeld = [this](const Call& call, std::string_view bytes) { recordUnhandledCall(call, bytes); };
-  server_.onConnectionEnded = [this](const grpc::ServerConnection& connection) {
+  server_.onRequestWhileSuspended = [this](const Call& call, std::string_view bytes) {
+    recordUnhandledCall(call, bytes);
+  };
+  server_.onConnectionClosed = [this](const grpc::ServerConnection& connection) {
     std::vector<std::string> lost;
     for (const auto& [name, state] : states_) {
       if (state.connection == connection.id() && !state.fetching) lost.push_back(name);
@@ -87,7 +89,7 @@
   if (std::exchange(crashed_, true)) return;
   poll();  // so that what nodes had closed before is recorded
   silent_ = false;
-  server_.refuse(true);
+  server_.rejectConnections(true);
   server_.abortAll();
   while (!openCalls_.empty()) onCallClosed(openCalls_.begin()->first);
   while (!states_.empty()) dropState(std::string(states_.begin()->first));  // a copy: the entry is erased
@@ -98,7 +100,7 @@
   if (crashed_ || silent_ == silent) return;
   silent_ = silent;
   if (silent) testbed_.ledger.onEngineSilent(model_.spec().id);
-  server_.freeze(silent);
+  server_.suspend(silent);
 }
 
 void FakeEngine::restart() {
@@ -108,14 +110,14 @@
   startedUnixMs_ = net::unixMillis();
   model_.restart(testbed_.now());
   testbed_.ledger.onEngineStarted(model_.spec().id, testbed_.now());
-  server_.refuse(false);
+  server_.rejectConnections(false);
 }
 
 void FakeEngine::applyCut() {
   if (testbed_.cutZone) testbed_.ledger.onEngineSilent(model_.spec().id);
   if (silent_ || crashed_) return;
-  if (!testbed_.cutZone) return server_.freeze(false);
-  server_.freeze(
+  if (!testbed_.cutZone) return server_.suspend(false);
+  server_.suspend(
       true, [this](const std::string& peer) { return testbed_.isCut(model_.spec().zone, zoneOf(peer)); });
 }
 
--- a/lab/fake_engine.h
+++ b/lab/fake_engine.h
@@ -89,7 +89,7 @@
   void setFetching(const std::string& state, bool on);
 
   /// Reads what its sockets hold, so that the audit is up to date.
-  void poll() { server_.pollAll(); }
+  void poll() { server_.readAllNow(); }
   std::size_t openCalls() const { return openCalls_.size(); }
   std::size_t states() const { return states_.size(); }
 
--- a/lab/fake_engine_calls.cpp
+++ b/lab/fake_engine_calls.cpp
@@ -174,7 +174,7 @@
     states_[state] = {attempt.request, attempt.attempt, attempt.promptTokens, call->connectionId(), false};
     model_.addState(attempt.promptTokens);
     testbed_.ledger.onPromptPrefilled(attempt.id, attempt.promptTokens - kept);
-    testbed_.ledger.onStateCreated(name(), attempt.request, state, testbed_.now(), call->silenced());
+    testbed_.ledger.onStateCreated(name(), attempt.request, state, testbed_.now(), call->isSuspended());
     v1::PrefillReply reply;
     reply.set_state(state);
     reply.set_kept_tokens(static_cast<std::uint32_t>(kept));
--- a/lab/fake_registry.cpp
+++ b/lab/fake_registry.cpp
@@ -75,7 +75,7 @@
 }
 
 void FakeRegistry::setDown(bool away) {
-  server_.refuse(away);
+  server_.rejectConnections(away);
   if (away) server_.abortAll();
 }
 
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -54,7 +54,7 @@
     call->send(out.SerializeAsString());
   };
   second->onEnd = [call](const grpc::CallEnd& end) { call->finish(end.status); };
-  call->onCancelled = [second] { second->cancel(); };
+  call->onClientDisconnected = [second] { second->cancel(); };
 }
 
 }  // namespace gannetcourse::lab
--- a/src/frontend/chat_service.cpp
+++ b/src/frontend/chat_service.cpp
@@ -27,7 +27,7 @@
   const router::RequestKey key = router.nextRequestKey();
   request.key = key;
   const auto stream = std::make_shared<ChatStream>(router, call, key, makeResumePoint(message));
-  call->onCancelled = [&router, key] { router.onClientDisconnected(key); };
+  call->onClientDisconnected = [&router, key] { router.onClientDisconnected(key); };
   call->onDrained = [stream = std::weak_ptr(stream)] {
     if (const auto open = stream.lock()) open->onDrained();
   };
--- a/src/frontend/chat_stream.cpp
+++ b/src/frontend/chat_stream.cpp
@@ -46,7 +46,7 @@
 }
 
 void ChatStream::sendFinalResponse(const router::FinalResponse& response) {
-  call_->onCancelled = nullptr;
+  call_->onClientDisconnected = nullptr;
   call_->onDrained = nullptr;
   call_->finish(toGrpcStatus(response), toTrailers(response));
   if (call_->pendingBytes() == 0) return;
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -144,8 +144,8 @@
 
 // ---- Keepalive ----
 void Channel::scheduleKeepalive() {
-  if (keepaliveTimer_ != 0 || options_.keepaliveEvery.count() <= 0) return;
-  keepaliveTimer_ = loop_.runAfter(options_.keepaliveEvery, [this] {
+  if (keepaliveTimer_ != 0 || options_.keepaliveInterval.count() <= 0) return;
+  keepaliveTimer_ = loop_.runAfter(options_.keepaliveInterval, [this] {
     keepaliveTimer_ = 0;
     sendKeepalives();
   });
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -26,8 +26,8 @@
   Duration connectTimeout{0.25};
   Duration initialBackoff{0.05};  ///< After a failed connect; doubles up to maxBackoff. Calls fail meanwhile.
   Duration maxBackoff{1};
-  Duration keepaliveEvery{5};    ///< Interval of PINGs on a connection with calls in flight; 0 = never.
-  Duration keepaliveTimeout{2};  ///< Without an acknowledgement the connection counts as broken.
+  Duration keepaliveInterval{5};  ///< Interval of PINGs on a connection with calls in flight; 0 = never.
+  Duration keepaliveTimeout{2};   ///< Without an acknowledgement the connection counts as broken.
   std::string userAgent = "gannetcourse";
 };
 
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -24,7 +24,7 @@
 
 // Deferred: the connection may be inside one of its own functions.
 void Server::scheduleRemoval(ServerConnection* connection) {
-  if (onConnectionEnded) onConnectionEnded(*connection);
+  if (onConnectionClosed) onConnectionClosed(*connection);
   loop_.defer([this, connection, alive = alive_] {
     if (!*alive) return;
     connections_.erase(connection);
@@ -40,23 +40,23 @@
   for (auto& [key, connection] : connections_) connection->session_.goaway();
 }
 
-std::size_t Server::calls() const {
+std::size_t Server::callCount() const {
   std::size_t open = 0;
-  for (const auto& [key, connection] : connections_) open += connection->calls();
+  for (const auto& [key, connection] : connections_) open += connection->callCount();
   return open;
 }
 
-void Server::freeze(bool frozen, const std::function<bool(const std::string&)>& who) {
+void Server::suspend(bool frozen, const std::function<bool(const std::string&)>& who) {
   for (auto& [key, connection] : connections_) {
     if (!who || who(connection->peer())) connection->suspend(frozen);
   }
 }
 
-void Server::pollAll() {
+void Server::readAllNow() {
   for (auto& [key, connection] : connections_) connection->session_.connection().readNow();
 }
 
-void Server::refuse(bool refused) { listener_.rejectConnections(refused); }
+void Server::rejectConnections(bool refused) { listener_.rejectConnections(refused); }
 
 void Server::abortAll() {
   for (auto& [key, connection] : connections_) {
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -40,23 +40,24 @@
 
   /// Graceful shutdown: no new connections, GOAWAY on the existing ones; calls in progress go on.
   void drain();
-  std::size_t connections() const { return connections_.size(); }
-  std::size_t calls() const;  ///< In progress.
+  std::size_t connectionCount() const { return connections_.size(); }
+  std::size_t callCount() const;  ///< In progress.
 
   // ---- For fake engines: failures of a machine ----
   /// Behaves like a machine that fell silent, towards all peers or those for which `who` is true.
-  void freeze(bool frozen, const std::function<bool(const std::string& peer)>& who = {});
+  void suspend(bool frozen, const std::function<bool(const std::string& peer)>& who = {});
   /// Reads what has arrived so far on every connection, suspended ones too.
-  void pollAll();
+  void readAllNow();
   /// Closes every connection with a RST.
   void abortAll();
   /// Behaves like a machine on which the process does not run: no new connections; the port stays ours.
-  void refuse(bool refused);
+  void rejectConnections(bool refused);
   /// Called at a connection's first request: whether the connection is suspended from then on.
-  std::function<bool(const std::string& peer)> silentTo;
-  std::function<void(const ServerConnection&)> onConnectionEnded;
+  std::function<bool(const std::string& peer)> isSuspendedFor;
+  std::function<void(const ServerConnection&)> onConnectionClosed;
   /// A complete request has arrived on a suspended connection; it is handled once that is resumed.
-  std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)> onHeld;
+  std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)>
+      onRequestWhileSuspended;
 
  private:
   friend class ServerConnection;
--- a/src/grpc/server_call.cpp
+++ b/src/grpc/server_call.cpp
@@ -29,7 +29,7 @@
 
 std::uint64_t ServerCall::connectionId() const { return connection_ == nullptr ? 0 : connection_->id(); }
 
-bool ServerCall::silenced() const {
+bool ServerCall::isSuspended() const {
   return connection_ != nullptr && connection_->session_.connection().isSuspended();
 }
 
--- a/src/grpc/server_call.h
+++ b/src/grpc/server_call.h
@@ -25,7 +25,7 @@
   const std::string& peer() const;                              ///< The connection's user-agent.
   std::uint64_t connectionId() const;                           ///< 0 once the stream has closed.
   Instant lastReceivedAt() const;  ///< When anything last arrived on its connection.
-  bool silenced() const;           ///< Suspended by Server::freeze(): what is sent waits here.
+  bool isSuspended() const;        ///< Suspended by Server::freeze(): what is sent waits here.
   bool isOpen() const { return connection_ != nullptr && !finished_; }
 
   /// Sends a message. Returns the bytes that the client has not taken yet, this message's included.
@@ -39,7 +39,7 @@
   std::size_t pendingBytes() const;
 
   /// Called once if the client cancels or the connection is lost before the status has been sent.
-  std::function<void()> onCancelled;
+  std::function<void()> onClientDisconnected;
   /// Called whenever pendingBytes() has fallen to 0.
   std::function<void()> onDrained;
   /// Called once when the stream has ended in both directions, for whatever reason.
--- a/src/grpc/server_connection.cpp
+++ b/src/grpc/server_connection.cpp
@@ -79,7 +79,7 @@
   if (!peer_.empty()) return;
   const std::string* agent = http2::find(headers, "user-agent");
   peer_ = agent == nullptr ? "unknown" : *agent;
-  if (server_.silentTo && server_.silentTo(peer_)) suspend(true);
+  if (server_.isSuspendedFor && server_.isSuspendedFor(peer_)) suspend(true);
 }
 
 std::optional<Status> ServerConnection::checkHeaders(ServerCall& call, const http2::Headers& headers) {
@@ -137,7 +137,7 @@
   if (call->messagesReceived_ == 0) return call->finish({Code::kUnimplemented, "no request message"});
   if (!session_.connection().isSuspended()) return dispatch(call);
   suspendedCalls_.push_back(call);
-  if (server_.onHeld) server_.onHeld(call, call->requestMessage_);
+  if (server_.onRequestWhileSuspended) server_.onRequestWhileSuspended(call, call->requestMessage_);
 }
 
 void ServerConnection::dispatch(const std::shared_ptr<ServerCall>& call) {
@@ -173,7 +173,7 @@
   call->finished_ = true;
   call->connection_ = nullptr;
   call->onDrained = nullptr;
-  const auto onCancelled = std::exchange(call->onCancelled, nullptr);
+  const auto onCancelled = std::exchange(call->onClientDisconnected, nullptr);
   const auto onClosed = std::exchange(call->onClosed, nullptr);
   if (cutShort && onCancelled) onCancelled();
   if (onClosed) onClosed();
--- a/src/grpc/server_connection.h
+++ b/src/grpc/server_connection.h
@@ -22,9 +22,9 @@
   /// Takes over the accepted socket.
   ServerConnection(Server& server, std::uint64_t id, int fd);
   ~ServerConnection() override;
-  std::uint64_t id() const { return id_; }             ///< Unique within the server, from 1.
-  const std::string& peer() const { return peer_; }    ///< User-agent of the first request.
-  std::size_t calls() const { return calls_.size(); }  ///< In progress.
+  std::uint64_t id() const { return id_; }                 ///< Unique within the server, from 1.
+  const std::string& peer() const { return peer_; }        ///< User-agent of the first request.
+  std::size_t callCount() const { return calls_.size(); }  ///< In progress.
 
  private:
   friend class Server;
--- a/src/http1/parser.cpp
+++ b/src/http1/parser.cpp
@@ -198,10 +198,10 @@
 ParseState RequestParser::parse() { return impl_->parse(); }
 Request& RequestParser::request() { return impl_->request(); }
 int RequestParser::errorStatus() const { return impl_->errorStatus(); }
-bool RequestParser::started() const { return impl_->started(); }
+bool RequestParser::hasPartialRequest() const { return impl_->started(); }
 std::uint64_t RequestParser::bufferedBytes() const { return impl_->bufferedBytes(); }
 std::size_t RequestParser::unparsedBytes() const { return impl_->unparsedBytes(); }
-void RequestParser::next() { impl_->next(); }
+void RequestParser::startNextRequest() { impl_->next(); }
 
 class ResponseParser::Impl {
  public:
--- a/src/http1/parser.h
+++ b/src/http1/parser.h
@@ -62,11 +62,11 @@
   /// The request; complete once parse() has returned kComplete. The caller may move it out.
   Request& request();
   int errorStatus() const;              ///< HTTP status for a malformed request.
-  bool started() const;                 ///< Bytes of an incomplete request have arrived.
+  bool hasPartialRequest() const;       ///< Bytes of an incomplete request have arrived.
   std::uint64_t bufferedBytes() const;  ///< Memory used for the request.
   std::size_t unparsedBytes() const;    ///< Bytes not parsed as part of a request yet.
   /// After kComplete: continues with the bytes that follow the request.
-  void next();
+  void startNextRequest();
 
  private:
   class Impl;
--- a/src/http1/server_connection.cpp
+++ b/src/http1/server_connection.cpp
@@ -103,7 +103,7 @@
   connection_.flush();
   if (!connection_.isOpen()) return;
   if (state_.phase() == ServerPhase::kFlushing) return continueAfterFlush();
-  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;
+  if (state_.phase() != ServerPhase::kIdle || !parser_.hasPartialRequest()) return;
   server_.loop_.defer([this, alive = server_.alive_, removed = removed_] {
     if (*alive && !*removed && state_.phase() == ServerPhase::kIdle) parsePipelined();
   });
@@ -231,7 +231,7 @@
   exchange_ = exchange;
   exchange->request = std::move(parser_.request());
   keepAlive_ = exchange->request.keepAlive;
-  parser_.next();
+  parser_.startNextRequest();
   hadRequest_ = true;
   ++requestsDispatched_;
   server_.handler_(exchange);
@@ -259,7 +259,7 @@
   if (isOutputFull()) return;  // onWritable() continues
   setReadingPaused(isPipelineFull());
   // Resuming to read may have closed the connection or dispatched the request.
-  if (state_.phase() != ServerPhase::kIdle || !parser_.started()) return;
+  if (state_.phase() != ServerPhase::kIdle || !parser_.hasPartialRequest()) return;
   handleEvent(ServerEvent::kBytesReceived);
   parseInput();
 }
--- a/src/http1/server_connection.h
+++ b/src/http1/server_connection.h
@@ -63,7 +63,7 @@
 
   // Whether the client leaves as much output unread as may wait. Until it reads on, its next request is not
   // parsed, or responses would pile up here.
-  bool isOutputFull() const { return connection_.pendingBytes() >= net::Connection::kWatermark; }
+  bool isOutputFull() const { return connection_.pendingBytes() >= net::Connection::kOutputWatermark; }
   // Input after the last response, up to a bound.
   void discardInput(std::size_t bytes);
   // Parses what is buffered, up to the end of one request.
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -175,7 +175,7 @@
   if (pendingBytes() == 0) {
     output_.clear();
     outputOffset_ = 0;
-  } else if (outputOffset_ > kWatermark) {
+  } else if (outputOffset_ > kOutputWatermark) {
     output_.erase(0, outputOffset_);
     outputOffset_ = 0;
   }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -31,7 +31,7 @@
 class Connection : private Watcher {
  public:
   /// Pending output from which the owner should wait for onWritable(), bytes.
-  static constexpr std::size_t kWatermark = 64 * 1024;
+  static constexpr std::size_t kOutputWatermark = 64 * 1024;
   /// Bytes read in one iteration of the loop, so that other connections are served too.
   static constexpr std::size_t kReadBudget = 256 * 1024;
 
@@ -51,7 +51,7 @@
 
   bool isOpen() const { return fd_ >= 0 || connecting_; }
   bool isConnected() const { return fd_ >= 0 && !connecting_; }
-  bool wantsOutput() const { return isConnected() && pendingBytes() < kWatermark; }
+  bool wantsOutput() const { return isConnected() && pendingBytes() < kOutputWatermark; }
   /// Output that the kernel has not accepted yet.
   std::size_t pendingBytes() const { return output_.size() - outputOffset_; }
   /// Adds to the pending output.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -31,7 +31,7 @@
   options.maxConnections = settings.maxConnectionsPerEngine;
   options.connectTimeout = settings.connectTimeout;
   // Engines end the streams of a node that they have not heard of for a lease.
-  options.keepaliveEvery = std::min(settings.keepaliveInterval, settings.recovery.engineLease / 4);
+  options.keepaliveInterval = std::min(settings.keepaliveInterval, settings.recovery.engineLease / 4);
   options.keepaliveTimeout = settings.keepaliveTimeout;
   options.userAgent = "gannetcourse node/" + settings.name + " zone/" + settings.zone;
   return options;
@@ -193,7 +193,7 @@
 void Node::completeDrainIfIdle() {
   if (!onDrained_) return;
   const bool idle =
-      core().pendingObligations() == 0 && transport_.auxiliaryCalls() == 0 && server_.calls() == 0;
+      core().pendingObligations() == 0 && transport_.auxiliaryCalls() == 0 && server_.callCount() == 0;
   if (idle) loop_.defer(std::exchange(onDrained_, nullptr));
 }
 
--- a/src/platform/engine_list_message.cpp
+++ b/src/platform/engine_list_message.cpp
@@ -50,7 +50,7 @@
 
 EngineListUpdate EngineListMessage::toUpdate() const {
   EngineListUpdate update;
-  update.scope = isSnapshot ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
+  update.scope = scope();
   for (const EngineListMessageEntry& engine : engines) update.entries.push_back(engine.entry);
   return update;
 }
--- a/src/platform/engine_list_message.h
+++ b/src/platform/engine_list_message.h
@@ -24,6 +24,9 @@
   bool isSnapshot = false;  ///< The complete list, else only the entries that have changed.
   std::vector<EngineListMessageEntry> engines;
 
+  EngineListUpdate::Scope scope() const {
+    return isSnapshot ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
+  }
   /// The message as an event for the decision module.
   EngineListUpdate toUpdate() const;
 };
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -121,7 +121,7 @@
     return;
   }
   watch_->setResumeIndex(message->index);
-  applyEngineList(*message, message->toUpdate().scope);
+  applyEngineList(*message, message->scope());
   becomeReady("with discovery's list");
 }
 
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(AdmissionControl, ALongQueueKeepsRequestsHereAndThenRejectsThem) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   for (int i = 0; i < 20; ++i) host.request(1.1, "r" + std::to_string(i), 2000);
   const std::size_t out = only<StartAttempt>(host.all).size();
   EXPECT_GE(out, 1U);
@@ -22,8 +22,8 @@
   Settings settings = twoStageSettings();
   settings.routerCount = 100;
   PolicyHost host(settings);
-  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
-  for (std::uint32_t id = 1; id <= 10; ++id) entries.push_back(server(id, Role::kPrefill));
+  std::vector<EngineEntry> entries = {engineEntry(99, Role::kDecode)};
+  for (std::uint32_t id = 1; id <= 10; ++id) entries.push_back(engineEntry(id, Role::kPrefill));
   host.engineList(1, entries);
   ASSERT_NE(sentTo(host.feed(1.1, requestOf("hung", 3000, 1))), 0U);
   host.runUntil(1.4);  // silent, not yet cancelled
@@ -39,7 +39,7 @@
     settings.classes[1].ttftObjective = Duration(4);
     settings.classes[0].priorityWeight = 3;
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+    host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
     RequestArrived r =
         requestOf("long", 12000, 1);  // 1.2 s of prefill: over half of the other class's objective
     r.classIndex = 1;
@@ -57,7 +57,7 @@
   for (const double prompt :
        {1000.0, 18000.0}) {  // a quarter of it is not cached: 0.48 s of an objective of 1 s
     PolicyHost host(twoStageSettings());
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+    host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
     for (int i = 0; i < 4; ++i) {  // 100 tokens each are the mean prefill
       const std::string id = "usual" + std::to_string(i);
       host.feed(1.1 + 0.1 * i, requestOf(id, 100, 10 + static_cast<std::uint64_t>(i)));
@@ -72,7 +72,7 @@
 // First tokens came after the objective lately: nothing more is prefilled until that is over.
 TEST(AdmissionControl, AdmitsByTheExpectedFirstToken) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "slow", 100);
   host.attemptEnded(1.15, "slow", 1, Outcome::kPrefilled);
   host.runUntil(2.1);
@@ -87,7 +87,7 @@
   Settings settings = twoStageSettings();
   settings.tenants = {{0.5, 0.01}, {0.5, 100.0}};
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   // The decode engine took 0.27 s to a first token: requests within their quota may wait for that (up to half
   // of the objective), those over it may not (a fifth).
   host.request(1.01, "slow", 100);
@@ -118,7 +118,7 @@
   settings.routerCount = 150;
   settings.tenants = {{0.07, 20.0}};
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.01, "slow", 100);
   host.attemptEnded(1.02, "slow", 1, Outcome::kPrefilled);
   host.streamStarted(1.29, "slow", 2);  // requests over a quota wait for that, those within it do not
--- a/tests/attempt_manager_test.cpp
+++ b/tests/attempt_manager_test.cpp
@@ -10,7 +10,8 @@
 TEST(AttemptManager, AnOvertakenAttemptIsCancelledAloneAndNoEngineIsBlamed) {
   for (const bool overtaken : {true, false}) {
     PolicyHost host(twoStageSettings());
-    host.engineList(0, {server(1, Role::kPrefill), server(3, Role::kPrefill), server(2, Role::kDecode)});
+    host.engineList(
+        0, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kPrefill), engineEntry(2, Role::kDecode)});
     const std::uint32_t preferred = sentTo(host.feed(0, requestOfSession("lost", 5)));
     ASSERT_EQ(sentTo(host.feed(0.05, requestOfSession("next", 5))), preferred);
     if (overtaken) {
@@ -32,7 +33,8 @@
   Settings settings = twoStageSettings();
   settings.classes[0].ttftObjective = Duration(0.7);
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
   // A quarter of 8,000 tokens is expected to take 0.23 s; after three times that the objective of 0.7 s has
   // nearly passed.
   ASSERT_NE(sentTo(host.feed(1.1, requestOf("long", 8000, 1))), 0U);
@@ -44,8 +46,8 @@
 // would never show.
 TEST(AttemptManager, ACancelledAttemptCountsInTheTypicalDuration) {
   PolicyHost host(twoStageSettings());
-  host.engineList(0, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(4, Role::kPrefill),
-                      server(3, Role::kDecode)});
+  host.engineList(0, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill),
+                      engineEntry(4, Role::kPrefill), engineEntry(3, Role::kDecode)});
   const std::uint32_t first = sentTo(host.feed(0, requestOf("a", 100, 1)));
   ASSERT_EQ(only<CancelAttempt>(host.runUntil(0.6)).size(), 1U);  // half of the objective and a little
   host.feed(0.61, AttemptEnded{{"a"}, 0, {first}, Outcome::kCancelled, false, 0, Duration(0.6), {}});
@@ -56,7 +58,8 @@
 
 TEST(AttemptManager, AnAttemptAtASilentEngineIsCancelledAndRetriedElsewhere) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
   const std::uint32_t prefillEngine = sentTo(host.request(1.1, "a"));
   const auto cancels = only<CancelAttempt>(host.runUntil(2.4));
   ASSERT_EQ(cancels.size(), 1U);
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -15,7 +15,7 @@
   ChannelTest() : listener(loop, {}, [this](int fd) { peer = std::make_unique<Raw>(fd); }) {
     ChannelOptions options;
     options.connectTimeout = Duration(5);
-    options.keepaliveEvery = Duration(0);
+    options.keepaliveInterval = Duration(0);
     channel = std::make_unique<Channel>(loop, net::Endpoint{"127.0.0.1", listener.port()}, options);
   }
 
--- a/tests/core_continuation_test.cpp
+++ b/tests/core_continuation_test.cpp
@@ -111,14 +111,14 @@
 TEST_F(CoreContinuationTest, ThePolicyIsNotifiedOfADisconnectWhileAContinuationWaits) {
   const CallKey call = startStream(1, 7);
   core.onEngineListUpdate(
-      at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {test::server(2, Role::kDecode)}});
+      at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {test::engineEntry(2, Role::kDecode)}});
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
   EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
       << "there is no prefill engine: it waits with the policy";
   core.onClientDisconnected(at(1.45), 7);
   core.onEngineListUpdate(
       at(1.5), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
-                                {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+                                {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
   advanceTo(8);
   EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy sends nothing for a request that is over";
 }
@@ -129,7 +129,7 @@
   core = Core(test::twoStageSettings(), Options{"n", Duration(0.05), true, disabled});
   core.onEngineListUpdate(
       at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
-                              {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+                              {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
   takeCommands();
   const CallKey call = startStream(1, 7);
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
@@ -218,8 +218,8 @@
 
 TEST_F(CoreContinuationTest, PrefillAndDecodeEngineAreLostDuringAContinuation) {
   EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
-                        {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill)}};
-  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+                        {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
   core.onEngineListUpdate(at(0.5), more);
   sendRequest(1, 7);
   const auto first = commandsOf<StartPrefill>(takeCommands()).front();
@@ -231,7 +231,7 @@
   core.onPrefillEnded(at(1.4), again.call, "state", 0, {});
   const auto next = commandsOf<StartDecode>(takeCommands()).front();
   EngineListUpdate removal{EngineListUpdate::Scope::kDelta,
-                           {test::server(again.engine.value, Role::kPrefill)}};
+                           {test::engineEntry(again.engine.value, Role::kPrefill)}};
   removal.entries.front().state = EngineEntry::State::kRemoved;
   core.onEngineListUpdate(at(1.45), removal);
   core.onCallEnded(at(1.5), next.call, Outcome::kStateLost, 0, {}, "state is gone");
@@ -250,8 +250,8 @@
 
 TEST_F(CoreContinuationTest, AContinuationsPrefillFailsAndTheOldEngineStillSends) {
   EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
-                        {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill)}};
-  for (std::uint32_t id = 2; id <= 4; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+                        {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 4; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
   core.onEngineListUpdate(at(0.5), more);
   sendRequest(1, 7);
   core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
@@ -272,8 +272,8 @@
 
 TEST_F(CoreContinuationTest, AllDecodeEnginesOfACellAreRemoved) {
   EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
-                         {test::server(1, Role::kPrefill, 1), test::server(2, Role::kDecode, 1),
-                          test::server(3, Role::kDecode, 1), test::server(9, Role::kDecode, 2)}};
+                         {test::engineEntry(1, Role::kPrefill, 1), test::engineEntry(2, Role::kDecode, 1),
+                          test::engineEntry(3, Role::kDecode, 1), test::engineEntry(9, Role::kDecode, 2)}};
   core.onEngineListUpdate(at(0.5), fleet);
   sendRequest(1, 7);
   core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
@@ -292,8 +292,8 @@
 
 TEST_F(CoreContinuationTest, ContinuationsDoNotOverloadAnEngineInSlowStart) {
   EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
-                         {test::server(1, Role::kPrefill), test::server(8, Role::kPrefill),
-                          test::server(2, Role::kDecode), test::server(4, Role::kDecode)}};
+                         {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill),
+                          test::engineEntry(2, Role::kDecode), test::engineEntry(4, Role::kDecode)}};
   core.onEngineListUpdate(at(0.5), fleet);
   std::map<CallKey, EngineId> streams;
   for (RequestKey key = 1; key <= 40; ++key) {
@@ -306,7 +306,7 @@
       streams.emplace(decode.call, decode.engine);
     }
   }
-  EngineEntry starting = test::server(3, Role::kDecode);
+  EngineEntry starting = test::engineEntry(3, Role::kDecode);
   starting.startedAt = at(5.1);
   core.onEngineListUpdate(at(5.1), EngineListUpdate{EngineListUpdate::Scope::kDelta, {starting}});
   takeCommands();
@@ -340,8 +340,8 @@
 }
 
 TEST_F(CoreContinuationTest, TheThirdDecodeEngineIsLostToo) {
-  EngineListUpdate more{EngineListUpdate::Scope::kSnapshot, {test::server(1, Role::kPrefill)}};
-  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::server(id, Role::kDecode));
+  EngineListUpdate more{EngineListUpdate::Scope::kSnapshot, {test::engineEntry(1, Role::kPrefill)}};
+  for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
   core.onEngineListUpdate(at(0.5), more);
   auto call = startStream(1, 7, 30);
   std::uint32_t next = 1;
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -29,9 +29,10 @@
 class CoreFixture : public ::testing::Test {
  protected:
   CoreFixture() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
-    core.onEngineListUpdate(at(0), {EngineListUpdate::Scope::kSnapshot,
-                                    {test::server(1, Role::kPrefill), test::server(2, Role::kDecode),
-                                     test::server(3, Role::kDecode)}});
+    core.onEngineListUpdate(at(0),
+                            {EngineListUpdate::Scope::kSnapshot,
+                             {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode),
+                              test::engineEntry(3, Role::kDecode)}});
     takeCommands();
   }
 
--- a/tests/core_requests_test.cpp
+++ b/tests/core_requests_test.cpp
@@ -157,7 +157,7 @@
     std::string commands;
     core.onEngineListUpdate(
         at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
-                                {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+                                {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
     for (RequestKey key = 1; key <= 30; ++key) {
       NewRequest arrival;
       arrival.key = key;
--- a/tests/core_state_release_test.cpp
+++ b/tests/core_state_release_test.cpp
@@ -44,7 +44,7 @@
   sendRequest(1, 7);
   core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
   const auto decode = commandsOf<StartDecode>(takeCommands()).front();
-  EngineListUpdate drains{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
+  EngineListUpdate drains{EngineListUpdate::Scope::kDelta, {test::engineEntry(1, Role::kPrefill)}};
   drains.entries.front().state = EngineEntry::State::kDraining;
   core.onEngineListUpdate(at(1.15), drains);
   core.onCallEnded(at(1.2), decode.call, Outcome::kStateLost, 0, {}, "state is gone");
@@ -62,8 +62,9 @@
   Options quiet;
   quiet.recordsEnabled = false;
   core = Core(test::twoStageSettings(), quiet);
-  core.onEngineListUpdate(at(0), {EngineListUpdate::Scope::kSnapshot,
-                                  {test::server(1, Role::kPrefill), test::server(2, Role::kDecode)}});
+  core.onEngineListUpdate(at(0),
+                          {EngineListUpdate::Scope::kSnapshot,
+                           {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
   NewRequest arrival;
   arrival.key = 9;
   arrival.id = "expired-lease";
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -186,7 +186,7 @@
 
   static EngineEntry entryOf(std::uint32_t id) {
     const Role role = id <= 4 ? Role::kPrefill : id <= 8 ? Role::kDecode : Role::kMixed;
-    return test::server(id, role, id % 3, id % 2);
+    return test::engineEntry(id, role, id % 3, id % 2);
   }
 
   Instant now() const { return Instant(Duration(now_)); }
--- a/tests/decode_selector_test.cpp
+++ b/tests/decode_selector_test.cpp
@@ -8,8 +8,8 @@
 
 TEST(DecodeSelector, SelectsInThePrefillEnginesCellAfterThePrefill) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1,
-                  {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 1), server(3, Role::kDecode, 0)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
+                      engineEntry(3, Role::kDecode, 0)});
   EXPECT_EQ(sentTo(host.request(1.1, "a")), 1U);
   EXPECT_TRUE(only<Reserve>(host.all).empty());
   // 1,000 tokens: 5 ms inside the cell against 20 ms and the cost of leaving it.
@@ -21,8 +21,8 @@
   settings.loadReportSource = LoadReportSource::kProbes;
   settings.probesAllowed = true;
   PolicyHost host(settings);
-  host.engineList(1,
-                  {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 1), server(3, Role::kDecode, 0)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
+                      engineEntry(3, Role::kDecode, 0)});
   LoadReport full;
   full.memoryUtilization = 0.998;
   host.feed(1.05, ProbeEnded{{3}, Outcome::kOk, Duration(0.001), full});
@@ -33,7 +33,8 @@
 // An engine that has slowed down still gives first tokens in time; that its streams do not end shows it.
 TEST(DecodeSelector, AnEngineWhoseStreamsDoNotEndYields) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   double at = 1.1;
   int toSlow = 0, toOther = 0;
   for (int i = 0; i < 60; ++i, at += 0.4) {
@@ -56,7 +57,8 @@
 // none.
 TEST(DecodeSelector, ShortStreamsFirstMakeNoEngineSlow) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   double at = 1.1;
   for (int i = 0; i < 40; ++i, at += 0.1) {
     const std::string id = "s" + std::to_string(i);
--- a/tests/engine_health_test.cpp
+++ b/tests/engine_health_test.cpp
@@ -15,7 +15,8 @@
 TEST(EngineHealth, ASingleResetIsNoLostContact) {
   for (const int resets : {1, 2}) {
     PolicyHost host(twoStageSettings());
-    host.engineList(0, {server(1, Role::kPrefill), server(3, Role::kPrefill), server(2, Role::kDecode)});
+    host.engineList(
+        0, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kPrefill), engineEntry(2, Role::kDecode)});
     const std::uint32_t preferred = sentTo(host.feed(0, requestOfSession("a", 5)));
     ASSERT_EQ(sentTo(host.feed(0.01, requestOfSession("b", 5))), preferred);
     host.attemptEnded(0.02, "a", preferred, Outcome::kReset);
@@ -31,7 +32,8 @@
 // Failure scores decay, also where nothing came that could have reduced them.
 TEST(EngineHealth, ASecondResetLongAfterIsNoLostContact) {
   PolicyHost host(twoStageSettings());
-  host.engineList(0, {server(1, Role::kPrefill), server(3, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(
+      0, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kPrefill), engineEntry(2, Role::kDecode)});
   const std::uint32_t preferred = sentTo(host.feed(0, requestOfSession("a", 5)));
   host.attemptEnded(0.02, "a", preferred, Outcome::kReset);
   host.runUntil(20);
@@ -43,7 +45,8 @@
 TEST(EngineHealth, ScoresDecayInAnIdleRouter) {
   for (const Outcome outcome : {Outcome::kConnectFailed, Outcome::kError, Outcome::kReset}) {
     PolicyHost host(twoStageSettings());
-    host.engineList(0, {server(1, Role::kPrefill), server(3, Role::kPrefill), server(2, Role::kDecode)});
+    host.engineList(
+        0, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kPrefill), engineEntry(2, Role::kDecode)});
     const std::uint32_t preferred = sentTo(host.feed(0, requestOfSession("a0", 5)));
     for (int i = 0; i < 6; ++i) {
       const std::string id = "a" + std::to_string(i);
@@ -58,7 +61,8 @@
 
 TEST(EngineHealth, AFailingEngineIsEjectedAndComesBackOneRequestAtATime) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
   double at = 1.1;
   int sends = 0;
   std::uint32_t bad = 0;  // fails everything: the prefill engine that is selected first
@@ -82,9 +86,9 @@
 // A rack that loses power is not found out one engine at a time.
 TEST(EngineHealth, TheSecondEngineLostMakesItsCellSuspect) {
   PolicyHost host(twoStageSettings());
-  std::vector<EngineEntry> entries = {server(1, Role::kPrefill, 1)};
-  for (std::uint32_t id = 2; id <= 6; ++id) entries.push_back(server(id, Role::kDecode, 1));
-  entries.push_back(server(9, Role::kDecode, 2));
+  std::vector<EngineEntry> entries = {engineEntry(1, Role::kPrefill, 1)};
+  for (std::uint32_t id = 2; id <= 6; ++id) entries.push_back(engineEntry(id, Role::kDecode, 1));
+  entries.push_back(engineEntry(9, Role::kDecode, 2));
   host.engineList(1, entries);
   std::vector<std::uint32_t> tried;
   for (int i = 0; i < 4; ++i) {
@@ -111,7 +115,8 @@
     settings.classes.push_back(settings.classes[0]);
     if (byTenant) settings.tenants = {{0.5, 0}, {0.5, 0}};
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+    host.engineList(
+        1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
     double at = 1.1;
     int failing = 0, healthy = 0, sends = 0;
     for (int i = 0; i < 40; ++i, at += 0.06) {
@@ -144,8 +149,9 @@
  protected:
   FailureScores() {
     setTime(0);
-    registry_.apply({EngineListUpdate::Scope::kSnapshot,
-                     {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kPrefill)}});
+    registry_.apply(
+        {EngineListUpdate::Scope::kSnapshot,
+         {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kPrefill)}});
     request_.healthKeys = {policy::HealthKey::ofClass(0), policy::HealthKey::ofTenant(0)};
     ofOtherTenant_.healthKeys = {policy::HealthKey::ofClass(0), policy::HealthKey::ofTenant(1)};
   }
@@ -214,7 +220,7 @@
 
 TEST_F(FailureScores, ARestartClearsThem) {
   health_.recordFailure(engine(1), request_, Outcome::kTimeout);
-  EngineEntry restarted = server(1, Role::kPrefill);
+  EngineEntry restarted = engineEntry(1, Role::kPrefill);
   restarted.startedAt = context_.now();
   registry_.apply({EngineListUpdate::Scope::kDelta, {restarted}});
   EXPECT_DOUBLE_EQ(score(request_), 0);
--- a/tests/engine_registry_test.cpp
+++ b/tests/engine_registry_test.cpp
@@ -8,15 +8,16 @@
 
 TEST(EngineRegistry, ADrainingEngineGetsNothingNew) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
-  EngineEntry draining = server(1, Role::kPrefill);
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
+  EngineEntry draining = engineEntry(1, Role::kPrefill);
   draining.state = EngineEntry::State::kDraining;
   host.engineList(1.1, {draining}, EngineListUpdate::Scope::kDelta);
   for (int i = 0; i < 20; ++i) {
     host.request(1.2, "r" + std::to_string(i), 100);
     for (const StartAttempt& send : only<StartAttempt>(host.last)) EXPECT_EQ(send.engine.value, 2U);
   }
-  host.engineList(1.3, {server(3, Role::kDecode)});  // a snapshot without the prefill engines
+  host.engineList(1.3, {engineEntry(3, Role::kDecode)});  // a snapshot without the prefill engines
   host.request(1.4, "x", 100);
   EXPECT_TRUE(only<StartAttempt>(host.last).empty());
 }
@@ -25,7 +26,8 @@
   Settings settings = twoStageSettings();
   settings.subscribeToDiscovery = true;
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)},
+                  EngineListUpdate::Scope::kCached);
   EXPECT_EQ(only<SubscribeToEngineList>(host.last).size(), 1U);
   host.engineList(1.1, {}, EngineListUpdate::Scope::kFetchFailed);
   const auto timers = only<SetTimer>(host.last);
--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -43,9 +43,9 @@
     settings_.slowStartWindow = Duration(3);
     settings_.classes[0].ttftObjective *= plan.timeScale;
     for (int i = 0; i < 2 * plan.engines; ++i) {
-      entries_.push_back(server(static_cast<std::uint32_t>(100 + i),
-                                i % 2 == 0 ? Role::kPrefill : Role::kDecode,
-                                static_cast<std::uint32_t>(i / 6)));
+      entries_.push_back(engineEntry(static_cast<std::uint32_t>(100 + i),
+                                     i % 2 == 0 ? Role::kPrefill : Role::kDecode,
+                                     static_cast<std::uint32_t>(i / 6)));
     }
     for (int n = 0; n < plan.routers; ++n) {
       startRouter(n);
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -63,7 +63,7 @@
   void keepCallsOpen() {
     server.handle("/test.Echo/Say", [this](const std::shared_ptr<ServerCall>& call, std::string_view) {
       received = call;
-      call->onCancelled = [this] { cancelled = true; };
+      call->onClientDisconnected = [this] { cancelled = true; };
     });
   }
 
@@ -203,7 +203,7 @@
     loop.runOnce(Duration(0));
   }
   EXPECT_TRUE(until([&] { return raw->closed(); }));
-  EXPECT_TRUE(until([&] { return server.connections() == 0; }));
+  EXPECT_TRUE(until([&] { return server.connectionCount() == 0; }));
 }
 
 TEST_F(FrameTest, AResetNotifiesTheHandler) {
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -32,7 +32,7 @@
   return s;
 }
 
-inline EngineEntry server(std::uint32_t id, Role role, std::uint32_t cell = 0, std::uint32_t zone = 0) {
+inline EngineEntry engineEntry(std::uint32_t id, Role role, std::uint32_t cell = 0, std::uint32_t zone = 0) {
   EngineEntry e;
   e.id = {id};
   e.role = role;
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -37,12 +37,12 @@
   ASSERT_TRUE(parser.append(kGood + "GET /-/ready HTTP/1.1\r\n\r\n"));
   ASSERT_EQ(parser.parse(), ParseState::kComplete);
   EXPECT_EQ(parser.request().body, "hello");
-  parser.next();
-  EXPECT_TRUE(parser.started());
+  parser.startNextRequest();
+  EXPECT_TRUE(parser.hasPartialRequest());
   ASSERT_EQ(parser.parse(), ParseState::kComplete);
   EXPECT_EQ(parser.request().target, "/-/ready");
-  parser.next();
-  EXPECT_FALSE(parser.started());
+  parser.startNextRequest();
+  EXPECT_FALSE(parser.hasPartialRequest());
 }
 
 TEST(RequestParser, RejectsLengthsThatMayHideARequest) {
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -8,7 +8,7 @@
 namespace gannetcourse::router {
 namespace {
 
-using test::server;
+using test::engineEntry;
 
 constexpr RequestKey kRequest = 1;
 constexpr std::size_t kIdempotentClass = 0, kKeyClass = 1, kAtMostOnceClass = 2, kZoneKeyClass = 3;
@@ -19,9 +19,9 @@
 class InvariantGuardTest : public ::testing::Test {
  protected:
   InvariantGuardTest() : guard(settings()) {
-    guard.onEngineListUpdate(
-        {EngineListUpdate::Scope::kSnapshot,
-         {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode, 0, 1)}});
+    guard.onEngineListUpdate({EngineListUpdate::Scope::kSnapshot,
+                              {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode),
+                               engineEntry(3, Role::kDecode, 0, 1)}});
   }
 
   static Settings settings() {
@@ -113,7 +113,7 @@
 
 TEST_F(InvariantGuardTest, AnAttemptToADrainingOrUnlistedEngine) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
-  EngineEntry draining = server(1, Role::kPrefill), removed = server(2, Role::kDecode);
+  EngineEntry draining = engineEntry(1, Role::kPrefill), removed = engineEntry(2, Role::kDecode);
   draining.state = EngineEntry::State::kDraining;
   removed.state = EngineEntry::State::kRemoved;
   guard.onEngineListUpdate({EngineListUpdate::Scope::kDelta, {draining, removed}});
--- a/tests/load_score_test.cpp
+++ b/tests/load_score_test.cpp
@@ -15,7 +15,8 @@
     Settings settings = twoStageSettings();
     settings.loadReportSource = LoadReportSource::kResponses;
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+    host.engineList(
+        1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
     const auto serve = [&](double at, const std::string& id, double cachedTokens, double figure) {
       const std::uint32_t prefillEngine = sentTo(host.request(at, id));
       if (prefillEngine == 0) return prefillEngine;
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -103,7 +103,7 @@
   // A start while the registry is down uses the cached list.
   channel.reset();
   node.reset();
-  registry.server.refuse(true);
+  registry.server.rejectConnections(true);
   start(source);
   EXPECT_EQ(node->engineCount(), 2u);
   const auto again = generate();
--- a/tests/node_engine_failure_test.cpp
+++ b/tests/node_engine_failure_test.cpp
@@ -98,7 +98,7 @@
 TEST_F(NodeTest, AnUnreachablePrefillEngineIsPassedOver) {
   ScriptedEngine other(loop, 3);
   start(fileSource({{&prefillEngine, "prefill"}, {&other, "prefill"}, {&decodeEngine, "decode"}}));
-  prefillEngine.server.refuse(true);
+  prefillEngine.server.rejectConnections(true);
   for (int i = 0; i < 4; ++i) {
     const auto response = generate();
     ASSERT_TRUE(waitForEnd(response));
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -34,7 +34,7 @@
     server.handle("/gannetcourse.v1.Engine/Prefill", [this](const ServerCall& call, std::string_view bytes) {
       ++prefills;
       calls.push_back(call);
-      call->onCancelled = [this] { ++cancelled; };
+      call->onClientDisconnected = [this] { ++cancelled; };
       const auto request = parsed<v1::PrefillRequest>(bytes);
       if (onPrefill) return onPrefill(call, request);
       replyToPrefill(call);
@@ -42,7 +42,7 @@
     server.handle("/gannetcourse.v1.Engine/Decode", [this](const ServerCall& call, std::string_view bytes) {
       ++decodes;
       calls.push_back(call);
-      call->onCancelled = [this] { ++cancelled; };
+      call->onClientDisconnected = [this] { ++cancelled; };
       const auto request = parsed<v1::DecodeRequest>(bytes);
       if (onDecode) return onDecode(call, request);
       sendToken(call, 0, "one ");
--- a/tests/orphaned_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -16,10 +16,10 @@
 class OrphanedStatesTest : public ::testing::Test {
  protected:
   OrphanedStatesTest() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
-    core.onEngineListUpdate(at(0),
-                            EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
-                                             {test::server(1, Role::kPrefill), test::server(2, Role::kDecode),
-                                              test::server(3, Role::kDecode)}});
+    core.onEngineListUpdate(
+        at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
+                                {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode),
+                                 test::engineEntry(3, Role::kDecode)}});
     core.takeCommands();
   }
 
@@ -143,7 +143,7 @@
 // An error may have been a late second response to an earlier call on that connection, with the prefill still
 // running: its state is released repeatedly once the request is over, and not during a later attempt.
 TEST_F(OrphanedStatesTest, AFailedPrefillIsReleasedAtTheEndOfItsRequest) {
-  EngineListUpdate drain{EngineListUpdate::Scope::kDelta, {test::server(1, Role::kPrefill)}};
+  EngineListUpdate drain{EngineListUpdate::Scope::kDelta, {test::engineEntry(1, Role::kPrefill)}};
   drain.entries.front().state = EngineEntry::State::kDraining;
   const CallKey first = startPrefill(1, kRequest);
   core.onEngineListUpdate(at(1.05), drain);
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -80,9 +80,9 @@
       while (parser->parse() == http1::ParseState::kComplete) {
         requests.push_back(parser->request());
         const http1::Request request = std::move(parser->request());
-        parser->next();
+        parser->startNextRequest();
         script(*peer, request);
-        if (!parser->started()) break;
+        if (!parser->hasPartialRequest()) break;
       }
     };
     peer->connection.adopt(fd);
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -85,7 +85,7 @@
 
   EngineEntry entryOf(std::uint32_t id) const {
     const Role role = id <= 5 ? Role::kPrefill : id <= 9 ? Role::kDecode : Role::kMixed;
-    return server(id, role, id % 3, id % 2);
+    return engineEntry(id, role, id % 3, id % 2);
   }
 
   int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint32_t>(below)); }
--- a/tests/prefix_affinity_test.cpp
+++ b/tests/prefix_affinity_test.cpp
@@ -10,7 +10,8 @@
 
 TEST(PrefixAffinity, ASessionReturnsToTheEngineThatHasItCached) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
   const std::uint32_t prefillEngine = serveToEnd(host, 1.1, requestOf("a", 3000, 42));
   // 500 tokens queue there and 3,000 of 3,400 are cached: (500 + 300) + 2 * 400 tokens against 2 * 3,400.
   host.feed(2.0, requestOf("filler", 200, 0));
@@ -19,8 +20,8 @@
 }
 
 TEST(PrefixAffinity, ARestartedEngineHasNothingCached) {
-  const std::vector<EngineEntry> both = {server(1, Role::kPrefill), server(2, Role::kPrefill),
-                                         server(3, Role::kDecode)};
+  const std::vector<EngineEntry> both = {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill),
+                                         engineEntry(3, Role::kDecode)};
   std::uint64_t prefix = 1;  // a prefix that prefers engine 2
   for (std::uint32_t preferred = 0; preferred != 2; ++prefix) {
     PolicyHost fresh(twoStageSettings());
@@ -28,11 +29,11 @@
     preferred = sentTo(fresh.feed(1.1, requestOf("a", 3000, 0, prefix + 1, 2900)));
   }
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(3, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kDecode)});
   EXPECT_EQ(serveToEnd(host, 1.1, requestOf("a", 3000, 0, prefix, 2900)), 1U);
   host.engineList(1.6, both);
   EXPECT_EQ(serveToEnd(host, 1.7, requestOf("b", 3000, 0, prefix, 2900)), 1U) << "its cached tokens count";
-  EngineEntry again = server(1, Role::kPrefill);
+  EngineEntry again = engineEntry(1, Role::kPrefill);
   again.startedAt = Instant(Duration(2.3));
   host.engineList(3, {again}, EngineListUpdate::Scope::kDelta);
   EXPECT_EQ(serveToEnd(host, 15.1, requestOf("c", 3000, 0, prefix, 2900)), 2U) << "until it starts anew";
@@ -44,7 +45,8 @@
   for (int router = 0; router < 2; ++router) {
     settings.seed = 100 + static_cast<std::uint64_t>(router);
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+    host.engineList(
+        1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
     selected[router] = sentTo(host.feed(1.1, requestOf("a", 500, 0, 99, 400)));
   }
   EXPECT_EQ(selected[0], selected[1]);
@@ -52,8 +54,8 @@
 
 // With many routers the turns of a session come to different ones, none of which knows where it is cached.
 TEST(PrefixAffinity, ASessionHasOnePreferredEngineOnAllRouters) {
-  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
-  for (std::uint32_t id = 1; id <= 8; ++id) entries.push_back(server(id, Role::kPrefill));
+  std::vector<EngineEntry> entries = {engineEntry(99, Role::kDecode)};
+  for (std::uint32_t id = 1; id <= 8; ++id) entries.push_back(engineEntry(id, Role::kPrefill));
   Settings settings = twoStageSettings();
   settings.routerCount = 50;
   PolicyHost one(settings);
@@ -76,8 +78,8 @@
 // Sessions that begin with one prefix are prefilled where it is cached, on every router; a prefix that half
 // of the requests begin with has more than one preferred engine.
 TEST(PrefixAffinity, ASharedPrefixHasPreferredEnginesByItsShareOfTheRequests) {
-  std::vector<EngineEntry> entries = {server(99, Role::kDecode)};
-  for (std::uint32_t id = 1; id <= 12; ++id) entries.push_back(server(id, Role::kPrefill));
+  std::vector<EngineEntry> entries = {engineEntry(99, Role::kDecode)};
+  for (std::uint32_t id = 1; id <= 12; ++id) entries.push_back(engineEntry(id, Role::kPrefill));
   Settings settings = twoStageSettings();
   settings.routerCount = 50;
   PolicyHost one(settings), other(settings);
--- a/tests/probing_test.cpp
+++ b/tests/probing_test.cpp
@@ -35,9 +35,9 @@
   settings.loadReportSource = LoadReportSource::kProbes;
   settings.probeCost = 0.01;
   PolicyHost host(settings);
-  std::vector<EngineEntry> entries = {server(1, Role::kPrefill, 0)};
-  for (std::uint32_t id = 10; id < 60; ++id) entries.push_back(server(id, Role::kDecode, id));
-  entries.push_back(server(2, Role::kDecode, 0));
+  std::vector<EngineEntry> entries = {engineEntry(1, Role::kPrefill, 0)};
+  for (std::uint32_t id = 10; id < 60; ++id) entries.push_back(engineEntry(id, Role::kDecode, id));
+  entries.push_back(engineEntry(2, Role::kDecode, 0));
   host.engineList(1, entries);
   const int requests = 40;
   for (int i = 0; i < requests; ++i) {
@@ -60,7 +60,7 @@
 // before the attempt.
 TEST(Probing, QueriesThePrefillEnginesQueueBeforeTheAttempt) {
   PolicyHost host = hostWithReportedQueue(
-      2, {server(1, Role::kPrefill), server(2, Role::kPrefill), server(3, Role::kDecode)});
+      2, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kPrefill), engineEntry(3, Role::kDecode)});
   host.request(3.1, "a");
   ASSERT_TRUE(only<StartAttempt>(host.last).empty());
   ASSERT_EQ(only<Probe>(host.last).size(), 1U);
@@ -74,14 +74,14 @@
 }
 
 TEST(Probing, ASilentEngineDelaysNoRequest) {
-  PolicyHost host = hostWithReportedQueue(2, {server(1, Role::kPrefill), server(3, Role::kDecode)});
+  PolicyHost host = hostWithReportedQueue(2, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kDecode)});
   host.request(3.1, "a");
   ASSERT_TRUE(only<StartAttempt>(host.last).empty());
   EXPECT_EQ(only<StartAttempt>(host.runUntil(3.15)).size(), 1U);
 }
 
 TEST(Probing, EnginesWithoutQueuesAreNotProbed) {
-  PolicyHost host = hostWithReportedQueue(0, {server(1, Role::kPrefill), server(3, Role::kDecode)});
+  PolicyHost host = hostWithReportedQueue(0, {engineEntry(1, Role::kPrefill), engineEntry(3, Role::kDecode)});
   EXPECT_EQ(sentTo(host.request(3.1, "a")), 1U);
 }
 
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -15,7 +15,7 @@
   explicit RandomDay(std::uint32_t seed) : random_(seed), settings_(make(random_)), host_(settings_) {}
 
   void play() {
-    for (std::uint32_t id = 1; id <= 8; ++id) entries_.push_back(server(id, role(id), id % 2, id % 3));
+    for (std::uint32_t id = 1; id <= 8; ++id) entries_.push_back(engineEntry(id, role(id), id % 2, id % 3));
     check(host_.engineList(now_, entries_, EngineListUpdate::Scope::kCached));
     for (int step = 0; step < 6000; ++step) {
       now_ += 0.004;
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(RequestLifecycle, ALostStateIsPrefilledAnew) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
   EXPECT_EQ(sentTo(host.attemptEnded(1.3, "a", 2, Outcome::kStateLost)), 1U);
@@ -16,7 +16,8 @@
 
 TEST(RequestLifecycle, AnotherDecodeEngineTakesTheWaitingStateAfterAFailure) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   const std::uint32_t next = sentTo(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kError));
@@ -25,7 +26,7 @@
 
 TEST(RequestLifecycle, ABrokenStreamIsNotRetried) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled);
   host.streamStarted(1.3, "a", 2);
@@ -46,7 +47,7 @@
   Settings settings = twoStageSettings();
   settings.cancelAllowed = false;
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a", 1000, 0.8);
   host.runUntil(1.1 + 0.8);
   EXPECT_EQ(finalResponses(host.all), 1U);
@@ -57,7 +58,7 @@
 // A client that has all but given up: there is no time for another step, so the response comes in this one.
 TEST(RequestLifecycle, RespondsAtOnceToARequestWithoutTimeLeft) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   EXPECT_EQ(only<RejectRequest>(host.request(1.1, "late", 100, 0)).size(), 1U);
   EXPECT_TRUE(only<StartAttempt>(host.runUntil(2)).empty());
 }
@@ -71,7 +72,7 @@
 
 TEST(RequestLifecycle, AStateThatArrivesAfterTheEndIsReleased) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   host.feed(1.15, ClientDisconnected{{"a"}});
   EXPECT_EQ(only<CancelAttempt>(host.last).size(), 1U);
@@ -82,7 +83,7 @@
 
 TEST(RequestLifecycle, UnknownIdsAreIgnored) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill)});
   EXPECT_TRUE(host.attemptEnded(1.1, "never", 1, Outcome::kPrefilled).empty());
   EXPECT_TRUE(host.streamStarted(1.1, "never", 1).empty());
   EXPECT_TRUE(host.feed(1.1, ClientDisconnected{{"never"}}).empty());
--- a/tests/retry_safety_test.cpp
+++ b/tests/retry_safety_test.cpp
@@ -18,7 +18,8 @@
 
 TEST(RetrySafety, AnAtMostOnceRequestFailsAfterADecodeMayHaveRun) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   host.attemptEnded(1.3, "a", decodeEngine, Outcome::kReset);
@@ -30,7 +31,7 @@
 // An attempt in flight proves nothing until it has ended, even a prefill that can have no effect.
 TEST(RetrySafety, AnAtMostOnceRequestIsNotRejectedWithAPrefillInFlight) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a", 1000, 0.5);
   ASSERT_EQ(only<StartAttempt>(host.all).size(), 1U);
   host.runUntil(1.6);
@@ -40,7 +41,8 @@
 
 TEST(RetrySafety, AnAtMostOnceRequestIsRetriedWhenProvenNotRun) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   EXPECT_EQ(sentTo(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kConnectFailed)), 5U - decodeEngine);
@@ -48,8 +50,8 @@
 
 TEST(RetrySafety, AKeyedRequestStaysInItsCellAndIsNotRejected) {
   PolicyHost host(settingsWith(Idempotency::kIdempotencyKey, DedupScope::kCell));
-  host.engineList(1,
-                  {server(1, Role::kPrefill, 0), server(2, Role::kDecode, 0), server(3, Role::kDecode, 1)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 0),
+                      engineEntry(3, Role::kDecode, 1)});
   host.request(1.1, "a");
   EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
   host.attemptEnded(1.3, "a", 2, Outcome::kError);
@@ -61,7 +63,8 @@
 
 TEST(RetrySafety, AKeyedRequestIsNotRetriedAfterItsWindow) {
   PolicyHost host(settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll));
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   host.attemptEnded(2.3, "a", decodeEngine,
@@ -78,7 +81,8 @@
     settings.connectTimeout = Duration(dial);
     settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+    host.engineList(
+        1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
     host.attemptEnded(2.0, "a", decodeEngine, Outcome::kError);  // 0.8 s after that start, of a window of 1 s
@@ -92,7 +96,8 @@
     Settings settings = settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll);
     settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+    host.engineList(
+        1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
     host.attemptEnded(1.2 + failsAfter, "a", decodeEngine, Outcome::kError);
@@ -103,7 +108,8 @@
 // A request is finished under the class that it was accepted with, whatever comes into service meanwhile.
 TEST(RetrySafety, NewSettingsDoNotLoosenTheClassOfAnOpenRequest) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   Settings moved = settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll);
@@ -145,7 +151,7 @@
     request.attemptInFlight = true;
     EXPECT_EQ(safety.canReject(request), c.rejectedWhenInFlight);
     request.attemptInFlight = false;
-    policy::RetrySafety::recordPossibleRun(request, server(1, Role::kDecode));
+    policy::RetrySafety::recordPossibleRun(request, engineEntry(1, Role::kDecode));
     EXPECT_EQ(safety.canReject(request), c.rejectedWhenInFlight);
   }
 }
@@ -156,12 +162,12 @@
     const policy::DecisionContext context(settingsWith(Idempotency::kIdempotencyKey, scope));
     const policy::RetrySafety safety(context);
     policy::Request request;
-    policy::RetrySafety::recordPossibleRun(request, server(1, Role::kDecode, 1, 1));
-    policy::RetrySafety::recordPossibleRun(request, server(9, Role::kDecode, 2, 2));  // not the first
+    policy::RetrySafety::recordPossibleRun(request, engineEntry(1, Role::kDecode, 1, 1));
+    policy::RetrySafety::recordPossibleRun(request, engineEntry(9, Role::kDecode, 2, 2));  // not the first
     policy::Engine sameCell, sameZone, elsewhere;
-    sameCell.entry = server(2, Role::kDecode, 1, 1);
-    sameZone.entry = server(3, Role::kDecode, 3, 1);
-    elsewhere.entry = server(4, Role::kDecode, 2, 2);
+    sameCell.entry = engineEntry(2, Role::kDecode, 1, 1);
+    sameZone.entry = engineEntry(3, Role::kDecode, 3, 1);
+    elsewhere.entry = engineEntry(4, Role::kDecode, 2, 2);
     EXPECT_TRUE(safety.isAllowedOn(sameCell, request));
     EXPECT_EQ(safety.isAllowedOn(sameZone, request), scope != DedupScope::kCell);
     EXPECT_EQ(safety.isAllowedOn(elsewhere, request), scope == DedupScope::kAll);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -10,7 +10,7 @@
   Settings settings = twoStageSettings();
   settings.classes[0].ttftObjective = Duration(100);
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   for (int i = 0; i < 100; ++i) {  // a warm prefill engine gets 20 a second from this router
     const std::string id = "w" + std::to_string(i);
     ASSERT_EQ(sentTo(host.request(1.1 + i * 0.05, id, 100)), 1U);
@@ -18,7 +18,7 @@
     host.streamStarted(1.13 + i * 0.05, id, 2);
     host.attemptEnded(1.14 + i * 0.05, id, 2, Outcome::kOk, true);
   }
-  EngineEntry warming = server(9, Role::kPrefill);
+  EngineEntry warming = engineEntry(9, Role::kPrefill);
   warming.startedAt = Instant(Duration(6.2));
   host.engineList(6.2, {warming}, EngineListUpdate::Scope::kDelta);
   int sends = 0;
@@ -34,9 +34,9 @@
 
 TEST(SlowStart, ARouterThatKnowsNothingStartsOneAWindow) {
   PolicyHost host(twoStageSettings());
-  EngineEntry warming = server(1, Role::kPrefill);
+  EngineEntry warming = engineEntry(1, Role::kPrefill);
   warming.startedAt = Instant(Duration(0.9));
-  host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  host.engineList(1, {warming, engineEntry(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 10; ++i) host.request(1.1 + i * 0.01, "r" + std::to_string(i), 100);
   EXPECT_EQ(only<StartAttempt>(host.all).size(), 1U);
 }
@@ -48,9 +48,9 @@
   settings.classes[0].ttftObjective = Duration(100);
   settings.routerCount = 6;
   PolicyHost host(settings);
-  std::vector<EngineEntry> entries = {server(1, Role::kPrefill), server(9, Role::kDecode)};
+  std::vector<EngineEntry> entries = {engineEntry(1, Role::kPrefill), engineEntry(9, Role::kDecode)};
   for (std::uint32_t id = 2; id <= 4; ++id) {
-    entries.push_back(server(id, Role::kPrefill));
+    entries.push_back(engineEntry(id, Role::kPrefill));
     entries.back().startedAt = Instant(Duration(6 + id * 0.1));
   }
   host.engineList(1, {entries[0], entries[1]});
@@ -75,10 +75,10 @@
 TEST(SlowStart, ManyRoutersThatKnowNothingStartFewTogether) {
   Settings settings = twoStageSettings();
   settings.routerCount = 6;
-  EngineEntry warming = server(1, Role::kPrefill);
+  EngineEntry warming = engineEntry(1, Role::kPrefill);
   warming.startedAt = Instant(Duration(0.9));
   PolicyHost host(settings);
-  host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+  host.engineList(1, {warming, engineEntry(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
   for (int i = 0; i < 50; ++i) host.request(1.1 + i * 0.1, "r" + std::to_string(i), 100, 10);
   EXPECT_LE(only<StartAttempt>(host.all).size(), 1U) << "a third of a request in each window of 2 s";
 }
@@ -90,10 +90,10 @@
     Settings settings = twoStageSettings();
     settings.classes[0].ttftObjective = Duration(100);
     PolicyHost host(settings);
-    host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)},
+    host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)},
                     EngineListUpdate::Scope::kCached);
-    host.engineList(1.5, {server(1, Role::kPrefill), server(2, Role::kDecode)});
-    EngineEntry fresh = server(1, Role::kPrefill);
+    host.engineList(1.5, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+    EngineEntry fresh = engineEntry(1, Role::kPrefill);
     fresh.startedAt = Instant(Duration(20 + off));
     host.runUntil(20);
     host.engineList(20, {fresh}, EngineListUpdate::Scope::kDelta);
@@ -116,13 +116,13 @@
 TEST(SlowStart, RoutersThatHearOfAnEngineTogetherDoNotAllStartWithIt) {
   Settings settings = twoStageSettings();
   settings.routerCount = 300;
-  EngineEntry warming = server(1, Role::kPrefill);
+  EngineEntry warming = engineEntry(1, Role::kPrefill);
   warming.startedAt = Instant(Duration(0.9));
   int sends = 0, later = 0;
   for (int router = 0; router < settings.routerCount; ++router) {
     settings.seed = 1000 + static_cast<std::uint64_t>(router);
     PolicyHost host(settings);
-    host.engineList(1, {warming, server(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
+    host.engineList(1, {warming, engineEntry(2, Role::kDecode)}, EngineListUpdate::Scope::kCached);
     for (int i = 0; i < 45; ++i) {
       host.request(1.1 + i * 0.2, "r" + std::to_string(i), 100, 10);
       const std::size_t now = only<StartAttempt>(host.last).size() +
--- a/tests/state_lease_test.cpp
+++ b/tests/state_lease_test.cpp
@@ -27,8 +27,8 @@
  public:
   explicit Decoding(Idempotency idempotency)
       : host(settingsWith(idempotency)), canRepeat(idempotency != Idempotency::kAtMostOnce) {
-    host.engineList(
-        1, {server(kPrefillEngine, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+    host.engineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
+                        engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
     decodeEngine = sentTo(host.attemptEnded(kPrefillEnds, "a", kPrefillEngine, Outcome::kPrefilled));
     EXPECT_NE(decodeEngine, 0U);
@@ -94,8 +94,8 @@
 TEST(StateLease, AttemptsThatMayNotHaveArrivedDoNotLengthenTheLease) {
   for (const Outcome outcome : {Outcome::kTimeout, Outcome::kReset, Outcome::kConnectFailed}) {
     PolicyHost host(settingsWith(Idempotency::kIdempotent));
-    host.engineList(1, {server(kPrefillEngine, Role::kPrefill), server(2, Role::kDecode),
-                        server(3, Role::kDecode), server(4, Role::kDecode)});
+    host.engineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
+                        engineEntry(3, Role::kDecode), engineEntry(4, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t first =
         sentTo(host.attemptEnded(kPrefillEnds, "a", kPrefillEngine, Outcome::kPrefilled));
@@ -114,7 +114,8 @@
   settings.stateLeaseLimit = Duration(0.4);
   settings.connectTimeout = Duration(0.25);
   PolicyHost host(settings);
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode), server(3, Role::kDecode)});
+  host.engineList(
+      1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
   const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   ASSERT_NE(decodeEngine, 0U);
@@ -126,9 +127,9 @@
 
 TEST(StateLease, AStateWithoutADecodeEngineIsReleasedWithinTheLimit) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {server(1, Role::kPrefill), server(2, Role::kDecode)});
+  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
-  EngineEntry removed = server(2, Role::kDecode);
+  EngineEntry removed = engineEntry(2, Role::kDecode);
   removed.state = EngineEntry::State::kRemoved;
   host.engineList(1.15, {removed}, EngineListUpdate::Scope::kDelta);
   host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled);
--- a/tests/stream_endings_test.cpp
+++ b/tests/stream_endings_test.cpp
@@ -248,7 +248,7 @@
     if (more == 0) break;
     sent += more;
     advance(0.005);
-    EXPECT_LE(server.unsentBytes(), 2 * net::Connection::kWatermark);
+    EXPECT_LE(server.unsentBytes(), 2 * net::Connection::kOutputWatermark);
   }
   ASSERT_LT(served, kCommands / 4);  // the others wait until it reads
   std::string got;
