--- a/lab/fake_engine_calls.cpp
+++ b/lab/fake_engine_calls.cpp
@@ -106,14 +106,13 @@
     if (!*alive) return;
     for (auto& [address, engine] : testbed_.byAddress) engine->poll();
     if (testbed_.ledger.otherOpenAttempts(key).empty()) return;
-    testbed_.loop.runAfter(kRecheckDelay,
-                           [this, key, suspects = testbed_.ledger.otherOpenAttempts(key), alive] {
-                             if (!*alive) return;
-                             for (auto& [address, engine] : testbed_.byAddress) engine->poll();
-                             for (const auto& [other, engine] : suspects) {
-                               if (testbed_.ledger.isOpen(other)) testbed_.ledger.onConcurrentAttempts();
-                             }
-                           });
+    testbed_.loop.runAfter(kRecheckDelay, [this, suspects = testbed_.ledger.otherOpenAttempts(key), alive] {
+      if (!*alive) return;
+      for (auto& [address, engine] : testbed_.byAddress) engine->poll();
+      for (const auto& [other, engine] : suspects) {
+        if (testbed_.ledger.isOpen(other)) testbed_.ledger.onConcurrentAttempts();
+      }
+    });
   });
 }
 
--- a/lab/node_process.cpp
+++ b/lab/node_process.cpp
@@ -14,8 +14,6 @@
 #include <stdexcept>
 #include <thread>
 
-extern char** environ;
-
 namespace gannetcourse::lab {
 namespace {
 
--- a/tests/independent_test.cpp
+++ b/tests/independent_test.cpp
@@ -119,7 +119,7 @@
       EXPECT_EQ(token.text(), lab::answerText(id, next));
       ++next;
     }
-    const grpc::Status status = stream->Finish();
+    grpc::Status status = stream->Finish();
     if (status.ok()) {
       EXPECT_EQ(next, lab::answerLength(id, output));
     }
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -119,7 +119,7 @@
               "' address='127.0.0.1:" + std::to_string(engine->server.port()) + "' role='" + role +
               "' zone='north' memory-tokens='100000'/>";
     }
-    const std::string path = (folder / "fleet.xml").string();
+    std::string path = (folder / "fleet.xml").string();
     std::ofstream(path) << text << "</fleet>";
     return path;
   }
@@ -166,7 +166,7 @@
 
   std::shared_ptr<Response> generate(const v1::GenerateRequest& request = query(),
                                      Duration timeout = Duration(10)) {
-    const auto response = std::make_shared<Response>();
+    auto response = std::make_shared<Response>();
     response->call = channel->start("/gannetcourse.v1.Chat/Generate", request.SerializeAsString(), timeout);
     response->call->onMessage = [response](std::string_view bytes) {
       const auto token = parsed<v1::GenerateToken>(bytes);
--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -65,7 +65,7 @@
   }
   std::shared_ptr<Response> generateToItsDecode(const v1::GenerateRequest& request) {
     const std::size_t before = openDecodes.size();
-    const auto response = generate(request);
+    auto response = generate(request);
     EXPECT_TRUE(waitUntil([&] { return openDecodes.size() == before + 1; }));
     return response;
   }
--- a/tests/node_request_test.cpp
+++ b/tests/node_request_test.cpp
@@ -127,10 +127,9 @@
   for (int i = 0; i < 10000; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     ASSERT_GE(fd, 0);
-    connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+    static_cast<void>(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to));
     // Half of them close at once, half after bytes that are not HTTP/2; a third by a reset.
-    if (i % 2 == 0) [[maybe_unused]]
-      const auto sent = send(fd, "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL);
+    if (i % 2 == 0) static_cast<void>(send(fd, "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL));
     const linger now{1, i % 3 == 0 ? 0 : 1};
     if (i % 3 == 0) setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close(fd);
