--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -5,5 +5,5 @@
 build=$1
 git ls-files '*.cpp' | xargs -P "$(nproc)" -n 2 clang-tidy -quiet -p "$build"
 mapfile -t python < <(git ls-files '*.py')
-black --quiet --check --line-length 110 "${python[@]}"
+black --quiet --check --line-length 120 "${python[@]}"
 PYTHONPYCACHEPREFIX=$(mktemp -d) python3 -m py_compile "${python[@]}"
--- a/soak/audit.py
+++ b/soak/audit.py
@@ -11,9 +11,7 @@
 
 SLACK = 0.3  # seconds that processes here may be late to note what they saw
 LEASE_ALLOWANCE = 0.35  # 0.3 s by the fleet's page and 0.05 s of sockets
-RELEASE_AFTER_SILENCE = (
-    0.65  # seconds from the end of a silence of all engines to the release of what is overdue
-)
+RELEASE_AFTER_SILENCE = 0.65  # seconds from the end of a silence of all engines to the release of what is overdue
 SAME_MOMENT = 0.05  # seconds within which two processes may note one moment in either order
 GRACE = 0.25 + 0.05
 ACCEPTED_AFTER_SIGTERM = (
@@ -62,8 +60,8 @@
         return max((t for t in self.of_node[node]["sigterm"] if started < t < killed), default=None)
 
     def excused_by_kill(self, request, what):
-        """Whether SIGKILL has freed its node of this request: one that comes as a surprise frees it of all that is open;
-        one at the end of a drain only of streams taken before or soon after SIGTERM, and of what has just come.
+        """Whether SIGKILL has freed its node of this request: one that comes as a surprise frees it of all that is
+        open; one at the end of a drain only of streams taken before or soon after SIGTERM, and of what has just come.
         """
         by = request["t"] + request["budget"] / 1000
         seen = [e["t"] for kind in ("responded", "broken_off", "disconnected") for e in what[kind]]
@@ -97,9 +95,7 @@
             if what["broken_off"] and not first:
                 # A connection that has been used may be closed between requests; the request is sent again then. A
                 # new one may be shut unread while a crowd fills the descriptors.
-                crowded = any(
-                    request["t"] - 5 < t < request["t"] + 5 for t in self.of_node[request["node"]]["crowd"]
-                )
+                crowded = any(request["t"] - 5 < t < request["t"] + 5 for t in self.of_node[request["node"]]["crowd"])
                 if what["sent"] or request["fresh"] and not crowded:
                     yield f"lost: {request_id} at {request['node']}, its connection was closed without an answer"
             elif not first and not what["broken_off"]:
@@ -127,7 +123,9 @@
                     if s["method"] == "POST" and s["t"] > disconnect["t"] + DISCONNECT_GRACE + SLACK
                 ]
                 if late:
-                    yield f"lost: {request_id} at {request['node']}, an attempt {late[0]['t'] - disconnect['t']:.3f} s after its " "client disconnected"
+                    after = late[0]["t"] - disconnect["t"]
+                    attempt = f"an attempt {after:.3f} s after its client disconnected"
+                    yield f"lost: {request_id} at {request['node']}, {attempt}"
 
     # ---- Rule 2 ----
     def effects(self):
@@ -179,8 +177,8 @@
     # ---- Rule 5 ----
     @staticmethod
     def sent_at(began, what):
-        """When the attempt that began there was sent. Two to one engine may begin together, where it has stood still: they
-        are distinguished by the deadline that each was sent."""
+        """When the attempt that began there was sent. Two to one engine may begin together, where it has stood still:
+        they are distinguished by the deadline that each was sent."""
         sends = [e for e in what["sent"] if e["pair"].endswith(">" + began["who"]) and e["t"] <= began["t"]]
         own = [e for e in sends if e.get("budget") == began["budget"]]
         return max((e["t"] for e in own or sends), default=began["t"])
@@ -232,8 +230,7 @@
                 frees += [
                     e["t"]
                     for e in what["released"]
-                    if e["t"] >= held["t"]
-                    and not any(began <= e["t"] < end - SAME_MOMENT for began, end in waits)
+                    if e["t"] >= held["t"] and not any(began <= e["t"] < end - SAME_MOMENT for began, end in waits)
                 ]
                 free = min(frees, default=self.events[-1]["t"])
                 for began, end, _ in out:
@@ -245,10 +242,9 @@
                 if free > self.due(since):
                     broken = broken or (since, free)
                 # "What a node held when it was killed is no longer that node's duty", if it was not overdue by then.
-                if broken and not self.node_killed(
-                    request["node"], request["t"], min(broken[1], self.due(broken[0]))
-                ):
-                    yield f"pinned: {request_id} of {request['node']} held at {held['who']} for {broken[1] - broken[0]:.3f} s"
+                if broken and not self.node_killed(request["node"], request["t"], min(broken[1], self.due(broken[0]))):
+                    leased = broken[1] - broken[0]
+                    yield f"pinned: {request_id} of {request['node']} held at {held['who']} for {leased:.3f} s"
 
     # ---- Deadlines sent to engines ----
     def budgets(self):
@@ -260,7 +256,8 @@
                     continue
                 left = request["t"] + request["budget"] / 1000 - sent["t"]
                 if began["budget"] / 1000 > left + BUDGET_SLACK + SLACK:
-                    yield f"deadline: {request_id} of {request['node']} sent {began['budget']} ms with {left * 1000:.0f} left"
+                    budget = f"{began['budget']} ms with {left * 1000:.0f} left"
+                    yield f"deadline: {request_id} of {request['node']} sent {budget}"
 
     def own_counts(self):
         """What the nodes' own guard counted."""
@@ -302,7 +299,8 @@
     served = sum(1 for e in events if e["what"] == "responded" and e["status"] == 200)
     rejected = sum(1 for e in events if e["what"] == "responded" and e["status"] in (429, 503))
     return (
-        f"requested={count['requested']} served={served} rejected={rejected} disconnected={count['disconnected']} broken_off={count['broken_off']} "
+        f"requested={count['requested']} served={served} rejected={rejected} "
+        f"disconnected={count['disconnected']} broken_off={count['broken_off']} "
         f"attempts={count['began']} halves={count['half']}"
     )
 
--- a/soak/client.py
+++ b/soak/client.py
@@ -1,5 +1,5 @@
-"""Stand-in clients in one process: good ones, some that disconnect early or write slowly, and some that stop in the middle
-of a request and stay. Each records in the log what it sent and what came back.
+"""Stand-in clients in one process: good ones, some that disconnect early or write slowly, and some that stop in the
+middle of a request and stay. Each records in the log what it sent and what came back.
 
 usage: client.py FOLDER NAME NODES-AS-JSON SECONDS SEED BUDGETS-MS-AS-JSON
 """
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -97,9 +97,7 @@
     discovery.log.write("up")
     asyncio.create_task(discovery.send_keepalives())
     commands = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(commands), sys.stdin
-    )
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     while line := await commands.readline():
         discovery.execute(json.loads(line))
 
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -1,4 +1,5 @@
-"""A stand-in engine: a prefill or decode engine on one port, with answers that fail in the ways that the protocol names.
+"""A stand-in engine: a prefill or decode engine on one port, with answers that fail in the ways that the protocol
+names.
 
 usage: engine.py FOLDER NAME ROLE PORT SEED
 """
@@ -140,9 +141,7 @@
 
 async def main(folder, name, role, port, seed):
     engine = Engine(folder, name, role, int(seed))
-    server = await asyncio.start_server(
-        engine.serve, "127.0.0.1", int(port), limit=1 << 20, reuse_address=True
-    )
+    server = await asyncio.start_server(engine.serve, "127.0.0.1", int(port), limit=1 << 20, reuse_address=True)
     engine.log.write("up")
     await server.serve_forever()
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -9,9 +9,7 @@
 import shim
 
 CROWD = 200  # connections; a node here may hold 127 of clients
-RELOADS_FROM = (
-    1.0  # seconds after its start: "SIGHUP never comes in its first second" (the days that count now)
-)
+RELOADS_FROM = 1.0  # seconds after its start: "SIGHUP never comes in its first second" (the days that count now)
 
 
 class FaultInjector:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,5 @@
-"""The processes of a soak: nodes, engines, discovery, fault proxies and clients, their ports and configuration files."""
+"""The processes of a soak: nodes, engines, discovery, fault proxies and clients, their ports and configuration
+files."""
 
 import json
 import os
@@ -21,8 +22,8 @@
 
 
 def reserve_ports(count):
-    """Sockets bound to ports that the kernel chose. They never listen: while they are open, no outgoing connection takes
-    their ports, and whoever listens there may end and come back."""
+    """Sockets bound to ports that the kernel chose. They never listen: while they are open, no outgoing connection
+    takes their ports, and whoever listens there may end and come back."""
     holders = []
     for _ in range(count):
         holder = socket.socket()
@@ -98,9 +99,7 @@
             seed = self.random.getrandbits(32)
             budgets = json.dumps(self.deployment.budgets_ms)
             ports = json.dumps(self.node_port)
-            self.clients.append(
-                self.start_script("client.py", f"c{i}", ports, self.options.seconds, seed, budgets)
-            )
+            self.clients.append(self.start_script("client.py", f"c{i}", ports, self.options.seconds, seed, budgets))
 
     def start_script(self, script, *arguments, takes_commands=False):
         return subprocess.Popen(
@@ -145,9 +144,7 @@
         entry = self.entries[engine]
         entry["status"] = status
         entry["since_ms"] = entry["since_ms"] if since_ms is None else since_ms
-        self.send_command(
-            self.discovery, do="entry", engine=engine, status=status, since_ms=entry["since_ms"]
-        )
+        self.send_command(self.discovery, do="entry", engine=engine, status=status, since_ms=entry["since_ms"])
 
     def engines_up(self):
         return [e for e in self.roles if self.entries[e]["status"] == "up"]
@@ -166,8 +163,7 @@
 
     def write_configuration(self, node, objective_factor=1.0):
         known = [
-            {**self.entries[e], "name": e, "address": f"127.0.0.1:{self.pair_port[node, e]}"}
-            for e in self.entries
+            {**self.entries[e], "name": e, "address": f"127.0.0.1:{self.pair_port[node, e]}"} for e in self.entries
         ]
         file = {
             "name": node,
--- a/soak/node_settings.py
+++ b/soak/node_settings.py
@@ -2,8 +2,8 @@
 
 
 def settings_of(deployment, node_count, objective_factor=1.0):
-    """The settings of a deployment. `objective_factor` stretches the latency objective of the first class: a reload that
-    changes something."""
+    """The settings of a deployment. `objective_factor` stretches the latency objective of the first class: a reload
+    that changes something."""
     return {
         "balancers": node_count,
         "classes": classes_of(deployment, objective_factor),
--- a/soak/paths.py
+++ b/soak/paths.py
@@ -76,9 +76,7 @@
         def stopped(e):
             return e["what"] in ("engine_stopped", "engine_continued") and e["engine"] == engine
 
-        downs = self._spans(
-            (e["t"], down(e)) for e in events if down(e) or e["what"] == "up" and e["who"] == engine
-        )
+        downs = self._spans((e["t"], down(e)) for e in events if down(e) or e["what"] == "up" and e["who"] == engine)
         stops = self._spans((e["t"], e["what"] == "engine_stopped") for e in events if stopped(e))
         return downs + stops
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -3,10 +3,10 @@
 
 usage: proxy.py FOLDER NAME ROUTES-AS-JSON         routes: [[node, engine, port, engine's port], ...]
 
-Lines: {"engine": NAME, "mode": "pass" | "hold" | "deaf" | "mute" | "reset" | "slow"}. "hold" keeps open connections silent
-and lets new ones fall silent, "deaf" only what nodes send, "mute" only what the engine answers; "slow" delays what is
-sent; "reset" resets what is open, once. A connection that its node closes over a silent path is closed towards its engine
-when the path is back.
+Lines: {"engine": NAME, "mode": "pass" | "hold" | "deaf" | "mute" | "reset" | "slow"}. "hold" keeps open connections
+silent and lets new ones fall silent, "deaf" only what nodes send, "mute" only what the engine answers; "slow" delays
+what is sent; "reset" resets what is open, once. A connection that its node closes over a silent path is closed
+towards its engine when the path is back.
 """
 
 import asyncio
@@ -66,8 +66,8 @@
         return self.modes.get(engine) in ("hold", one_way)
 
     async def copy_to_engine(self, source, connecting, route):
-        """Passes on what a node sends, once its engine takes connections (one that stands still may take none for a second).
-        It is noted when it is sent, not when it arrives."""
+        """Passes on what a node sends, once its engine takes connections (one that stands still may take none for a
+        second). It is noted when it is sent, not when it arrives."""
         try:
             while data := await source.read(1 << 16):
                 self.note(data, route)
@@ -147,9 +147,7 @@
         await asyncio.start_server(handler, "127.0.0.1", port)
     proxy.log.write("up")
     orders = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(orders), sys.stdin
-    )
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
     while line := await orders.readline():
         proxy.do(json.loads(line))
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -5,8 +5,8 @@
 
 usage: run.py --seed N [--seconds S] [--build FOLDER] [--keep FOLDER]
 
-Prints one line a broken rule, then one with the counts. Exit code 0 only where no rule was broken and all kinds of load and
-fault were played.
+Prints one line a broken rule, then one with the counts. Exit code 0 only where no rule was broken and all kinds of
+load and fault were played.
 """
 
 import argparse
@@ -74,9 +74,7 @@
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--build", default=str(HERE.parent / "build"))
-    parser.add_argument(
-        "--keep", help="folder for the logs; else they go with the run, unless a rule was broken"
-    )
+    parser.add_argument("--keep", help="folder for the logs; else they go with the run, unless a rule was broken")
     options = parser.parse_args()
     for part in (PROGRAM, SHIM):
         if not pathlib.Path(options.build, part).is_file():
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -6,9 +6,7 @@
 
 CALLS = ["accept", "socket", "connect", "watch", "receive", "send", "open", "write", "sync", "rename"]
 RULE = struct.Struct("iIII")  # errno, per mille, remaining, failed
-SWITCHES = struct.Struct(
-    "IIIIq"
-)  # short per mille, stall in ms, its per mille, interrupted connects, clock step in ms
+SWITCHES = struct.Struct("IIIIq")  # short per mille, stall in ms, its per mille, interrupted connects, clock step in ms
 SIZE = len(CALLS) * RULE.size + SWITCHES.size
 UNLIMITED = 0xFFFFFFFF
 
@@ -45,9 +43,7 @@
         RULE.pack_into(self._memory, at, error, per_mille, UNLIMITED if per_mille else 0, failed)
 
     def set_switches(self, short=0, stall_ms=0, stall=0, interrupted=0, clock_step_ms=0):
-        SWITCHES.pack_into(
-            self._memory, len(CALLS) * RULE.size, short, stall_ms, stall, interrupted, clock_step_ms
-        )
+        SWITCHES.pack_into(self._memory, len(CALLS) * RULE.size, short, stall_ms, stall, interrupted, clock_step_ms)
 
     def failures(self):
         rules = [RULE.unpack_from(self._memory, i * RULE.size) for i in range(len(CALLS))]
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -27,8 +27,7 @@
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     fields = {
-        name.strip().lower(): value.strip()
-        for name, _, value in (line.partition(":") for line in lines[1:] if line)
+        name.strip().lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:] if line)
     }
     length = int(fields.get("content-length", 0)) if has_body else 0
     return Message(lines[0], fields, await reader.readexactly(length) if length else b"")
--- a/tests/check_file_length_test.sh
+++ b/tests/check_file_length_test.sh
@@ -15,3 +15,5 @@
 if bash "$check" "$folder/good.cpp" "$folder/longest.cpp"; then exit 1; fi
 printf '%111s\n' x > "$folder/wide.cpp"
 if bash "$check" "$folder/wide.cpp"; then exit 1; fi
+printf '%121s\n' x > "$folder/wide.py"
+if bash "$check" "$folder/wide.py"; then exit 1; fi
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -23,10 +23,12 @@
 constexpr double kTimeoutSeconds = 20;  // seconds; only a broken program needs them
 
 inline const char* const kSettings = R"({"balancers":1,
-  "classes":[{"aimS":1.5,"deadlineS":6.0,"idempotency":"idempotent","name":"chat","worth":3.0,"lateWorth":0.1},
+  "classes":[{"aimS":1.5,"deadlineS":6.0,"idempotency":"idempotent","name":"chat","worth":3.0,
+              "lateWorth":0.1},
              {"aimS":3.0,"deadlineS":12.0,"idempotency":"at_most_once","name":"pay","worth":1.0}],
   "familyInfo":{"aimUsPer1000PromptTokens":[40000.0,50000.0],"kindMemoryTokens":[165671,190862],
-                "kindRole":["read","write"],"mayReserve":true,"pinLimitS":1.0,"selfPrefill":false,"tokenAimS":[0.06,0.08]},
+                "kindRole":["read","write"],"mayReserve":true,"pinLimitS":1.0,"selfPrefill":false,
+                "tokenAimS":[0.06,0.08]},
   "kinds":["prefill","decode"],
   "limits":{"connIdleS":15.0,"connectTimeoutS":0.25,"maxAttempts":6,"maxRetryAfterS":1.0,"mayCancel":true,
             "probes":false,"retryAfter":true},
--- a/tests/soak_audit_test.py
+++ b/tests/soak_audit_test.py
@@ -54,17 +54,13 @@
     """The beginning of the line that is to be found, and the events that break the rule."""
     unanswered = without(clean(), "started", "responded")
     yield "lost: a at n0, no answer", unanswered
-    yield "lost: a at n0, its connection was closed", unanswered + [
-        event(11, "c0", "broken_off", id="a", why="closed")
-    ]
+    yield "lost: a at n0, its connection was closed", unanswered + [event(11, "c0", "broken_off", id="a", why="closed")]
     yield "lost: a at n0, answered", unanswered + [event(12.5, "c0", "responded", id="a", status=503)]
     yield "lost: a at n0, served with what no engine made", without(clean(), "responded") + [
         event(10.41, "c0", "responded", id="a", status=200, right=False)
     ]
     yield "lost: a, two answers", clean() + [event(10.5, "c0", "responded", id="a", status=200, right=True)]
-    yield "lost: a at n0, an attempt", unanswered + [
-        event(10.5, "c0", "disconnected", id="a", after=0.5)
-    ] + again(11.2)
+    yield "lost: a at n0, an attempt", unanswered + [event(10.5, "c0", "disconnected", id="a", after=0.5)] + again(11.2)
     yield "half:", clean() + [event(20, "c0", "half", node="n0", took=4.0)]
     yield "duplicate: a ran 2 times", clean("pay") + again(10.45)
     yield "duplicate: a was rejected, but ran", without(clean("pay"), "started", "responded") + [
@@ -74,9 +70,7 @@
     yield "duplicate: a out at w0 and w1", without(clean(), "ended") + again(10.3) + [
         event(11.5, "w0", "ended", id="a", role="decode", complete=False)
     ]
-    yield "drain: a sent by n0>r9", clean() + [
-        event(10.3, "proxy0", "sent", pair="n0>r9", id="a", method="POST")
-    ]
+    yield "drain: a sent by n0>r9", clean() + [event(10.3, "proxy0", "sent", pair="n0>r9", id="a", method="POST")]
     yield "pinned: a of n0", without(clean(), "took") + [event(14, "r0", "released", id="a")]
     yield "deadline: a of n0 sent", clean() + [
         event(11, "proxy0", "sent", pair="n0>w2", id="a", method="POST"),
@@ -113,9 +107,7 @@
     yield True, "a place that nothing takes", silent_write(
         event(10.2, "w1", "reserved", id="a"), event(10.1, "r1", "released", id="a")
     )
-    yield True, "a release while a writer waits for the state", without(
-        clean(), "took", "started", "ended"
-    ) + [
+    yield True, "a release while a writer waits for the state", without(clean(), "took", "started", "ended") + [
         event(10.1, "r0", "ended", id="a", role="prefill", complete=True),
         event(10.3, "r1", "released", id="a"),
         event(10.5, "w0", "ended", id="a", role="decode", complete=False),
@@ -149,9 +141,7 @@
 
 def overlaps():
     """Whether the events break the rule on two attempts, and what they are: a fault of a path is no excuse."""
-    first = [e for e in clean() if e["t"] <= 10.12] + [
-        event(10.05, "proxy0", "mode", engine="w0", mode="slow")
-    ]
+    first = [e for e in clean() if e["t"] <= 10.12] + [event(10.05, "proxy0", "mode", engine="w0", mode="slow")]
     yield True, "out on an open connection", first + again(10.3) + [
         event(11.5, "w0", "ended", id="a", role="decode", complete=False)
     ]
@@ -162,9 +152,7 @@
     ended = [event(11.6, "w0", "ended", id="a", role="decode", complete=False)]
     closed = [event(10.3, "proxy0", "node_closed", pair="n0>w0", id="a")]
     resent = [event(10.4, "proxy0", "sent", pair="n0>w0", id="a", method="POST", budget=100)]
-    yield False, "given up, and both begin as their engine goes on", begun + closed + resent + same[
-        1:2
-    ] + ended
+    yield False, "given up, and both begin as their engine goes on", begun + closed + resent + same[1:2] + ended
     yield False, "closed by its node before", first + [
         event(10.25, "proxy0", "node_closed", pair="n0>w0", id="a")
     ] + again(10.3) + [event(11.5, "w0", "ended", id="a", role="decode", complete=False)]
@@ -200,9 +188,7 @@
     ):
         if not any(line.startswith(wanted) for line in judge(clean(), log)):
             faults.append(f"not found: '{wanted}'")
-    faults += [
-        f"an attempt that is out stops the clock: {line}" for line in judge(released_as_an_attempt_ends())
-    ]
+    faults += [f"an attempt that is out stops the clock: {line}" for line in judge(released_as_an_attempt_ends())]
     for broken, name, events in holds_under_faults():
         found = [line for line in judge(events) if line.startswith("pinned")]
         if bool(found) != broken:
