--- a/lab/fake_registry.cpp
+++ b/lab/fake_registry.cpp
@@ -8,19 +8,19 @@
 }
 
 void FakeRegistry::watch(const std::shared_ptr<grpc::ServerCall>& call, std::string_view bytes) {
-  v1::WatchRequest ask;
-  if (!ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+  v1::WatchRequest request;
+  if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return call->finish({grpc::Code::kInvalidArgument, "request"});
   v1::EngineList list;
   list.set_full(true);
   list.set_version(version_);
   for (const auto& [id, entry] : entries_) {
     *list.add_entries() = entry;
-    recordNotification(ask.node(), entry);
+    recordNotification(request.node(), entry);
   }
   for (const std::uint32_t id : removed_)
-    testbed_.ledger.onNotifiedNotServing(ask.node(), id, testbed_.now());
-  watchers_.push_back({ask.node(), call});
+    testbed_.ledger.onNotifiedNotServing(request.node(), id, testbed_.now());
+  watchers_.push_back({request.node(), call});
   call->send(list.SerializeAsString());
 }
 
--- a/lab/fault_search.cpp
+++ b/lab/fault_search.cpp
@@ -46,7 +46,7 @@
       .policy;
 }
 
-// One request's life among engines whose truth is known.
+// One request among engines whose truth is known.
 class World {
  public:
   explicit World(const FaultSearchOptions& options)
@@ -68,22 +68,23 @@
 
   // False where it cannot happen to that stream now.
   bool apply(Step step, RequestKey key) {
-    Life& life = lives_[key];
-    const bool streams = life.call != 0 && life.writes && life.started;
-    if (step == kProgress) return life.call != 0 && progress(key);
-    if (step == kFinish) return streams && end(life, Outcome::kOk, recovery::AttemptEnd::kConfirmed);
-    if (step == kBreak) return life.call != 0 && end(life, Outcome::kReset, recovery::AttemptEnd::kConfirmed);
-    if (step == kLinkLost) return streams && end(life, Outcome::kReset, recovery::AttemptEnd::kAbandoned);
-    if (step == kTwice) return streams && say(life.call, life.next - 1);
-    if (step == kGap) return streams && say(life.call, life.next + 1);
+    SimulatedRequest& request = requests_[key];
+    const bool streams = request.call != 0 && request.writes && request.started;
+    if (step == kProgress) return request.call != 0 && progress(key);
+    if (step == kFinish) return streams && end(request, Outcome::kOk, recovery::AttemptEnd::kConfirmed);
+    if (step == kBreak)
+      return request.call != 0 && end(request, Outcome::kReset, recovery::AttemptEnd::kConfirmed);
+    if (step == kLinkLost) return streams && end(request, Outcome::kReset, recovery::AttemptEnd::kAbandoned);
+    if (step == kTwice) return streams && say(request.call, request.next - 1);
+    if (step == kGap) return streams && say(request.call, request.next + 1);
     if (step == kLate)
-      return life.lastCall != 0 && life.lastCall != life.call && say(life.lastCall, life.next);
+      return request.lastCall != 0 && request.lastCall != request.call && say(request.lastCall, request.next);
     if (step == kShortWait) return pass(0.3);
     if (step == kLongWait) return pass(1.8);
-    if (step == kAck) return acknowledge(life, key);
-    if (step == kClientGoes) return !life.answered && !life.gone && leave(life, key);
+    if (step == kAck) return acknowledge(request, key);
+    if (step == kClientGoes) return !request.answered && !request.gone && leave(request, key);
     if (!streams) return false;
-    core_.onEngineShutdownNotice(at(), life.engine, at() + Duration(0.5));
+    core_.onEngineShutdownNotice(at(), request.engine, at() + Duration(0.5));
     return take();
   }
 
@@ -92,8 +93,8 @@
     core_.onClientDisconnected(at(), kOther);
     take();
     pass(kTimeLeft + 5);
-    for (const auto& [key, life] : lives_) {
-      if (!life.answered && !life.gone && key != kOther) fault("never answered");
+    for (const auto& [key, request] : requests_) {
+      if (!request.answered && !request.gone && key != kOther) fault("never answered");
     }
     if (core_.pendingObligations() != 0) fault("something is still owed");
   }
@@ -101,7 +102,7 @@
   const std::string& faultText() const { return fault_; }
 
  private:
-  struct Life {
+  struct SimulatedRequest {
     CallKey call = 0, lastCall = 0;
     bool writes = false, started = false, answered = false, gone = false;
     EngineId engine;
@@ -126,53 +127,53 @@
     a.payload = work;
     core_.onRequest(at(), std::move(a));
     take();
-    for (int step = 0; step < 2 && lives_[key].call != 0; ++step) progress(key);
+    for (int step = 0; step < 2 && requests_[key].call != 0; ++step) progress(key);
   }
 
   bool progress(RequestKey key) {
-    Life& life = lives_[key];
-    if (!life.writes) {
-      const CallKey call = life.call;
-      over(life);
+    SimulatedRequest& request = requests_[key];
+    if (!request.writes) {
+      const CallKey call = request.call;
+      over(request);
       core_.onPrefillEnded(at(), call, "state", 0, {});
       return take();
     }
-    return say(life.call, life.next);
+    return say(request.call, request.next);
   }
 
   bool say(CallKey call, std::uint32_t index) {
-    for (auto& [key, life] : lives_) {
-      if (life.call != call || life.started) continue;
-      life.started = true;
-      life.runs[life.attempt] = 1e9;
+    for (auto& [key, request] : requests_) {
+      if (request.call != call || request.started) continue;
+      request.started = true;
+      request.runs[request.attempt] = 1e9;
     }
     core_.onToken(at(), call, index, std::to_string(index));
     return take();
   }
 
-  bool end(Life& life, Outcome outcome, recovery::AttemptEnd ending) {
-    const CallKey call = life.call;
+  bool end(SimulatedRequest& request, Outcome outcome, recovery::AttemptEnd ending) {
+    const CallKey call = request.call;
     if (ending == recovery::AttemptEnd::kConfirmed) {
-      life.runs.erase(life.attempt);
-    } else if (life.started) {
-      life.runs[life.attempt] = now_ + lease_;
+      request.runs.erase(request.attempt);
+    } else if (request.started) {
+      request.runs[request.attempt] = now_ + lease_;
     }
-    over(life);
+    over(request);
     core_.onCallEnded(at(), call, outcome, 0, {}, "ended", ending);
     return take();
   }
 
-  bool acknowledge(Life& life, RequestKey key) {
-    if (!life.fence) return false;
-    const int attempt = *life.fence;
-    life.fence.reset();
-    std::erase_if(life.runs, [attempt](const auto& r) { return r.first <= attempt; });
+  bool acknowledge(SimulatedRequest& request, RequestKey key) {
+    if (!request.fence) return false;
+    const int attempt = *request.fence;
+    request.fence.reset();
+    std::erase_if(request.runs, [attempt](const auto& r) { return r.first <= attempt; });
     core_.onAttemptFenced(at(), key, attempt);
     return take();
   }
 
-  bool leave(Life& life, RequestKey key) {
-    life.gone = true;
+  bool leave(SimulatedRequest& request, RequestKey key) {
+    request.gone = true;
     core_.onClientDisconnected(at(), key);
     return take();
   }
@@ -181,7 +182,7 @@
     const double end = now_ + seconds;
     while (now_ < end) {
       now_ = std::min(end, now_ + 0.1);
-      const Life& other = lives_[kOther];
+      const SimulatedRequest& other = requests_[kOther];
       if (other.call != 0 && other.writes) say(other.call, other.next);
       core_.advance(at());
       take();
@@ -189,9 +190,9 @@
     return true;
   }
 
-  void over(Life& life) {
-    life.lastCall = std::exchange(life.call, 0);
-    life.started = false;
+  void over(SimulatedRequest& request) {
+    request.lastCall = std::exchange(request.call, 0);
+    request.started = false;
   }
 
   bool take() {
@@ -202,51 +203,52 @@
         start(c->request, c->call, c->engine, c->attempt, true);
       if (const auto* c = std::get_if<router::CancelCall>(&command)) calledOff(c->call);
       if (const auto* c = std::get_if<router::SendToken>(&command)) delivered(*c);
-      if (const auto* c = std::get_if<router::FenceAttempt>(&command)) lives_[c->request].fence = c->attempt;
-      if (const auto* c = std::get_if<router::FinalResponse>(&command)) answered(lives_[c->request]);
+      if (const auto* c = std::get_if<router::FenceAttempt>(&command))
+        requests_[c->request].fence = c->attempt;
+      if (const auto* c = std::get_if<router::FinalResponse>(&command)) answered(requests_[c->request]);
     }
     return true;
   }
 
   void start(RequestKey key, CallKey call, EngineId engine, int attempt, bool writes) {
-    Life& life = lives_[key];
-    if (life.call != 0) fault("two calls out");
-    if (life.answered || life.gone) fault("a call after the end");
-    if (attempt <= life.attempt) fault("an attempt's number does not rise");
-    for (const auto& [earlier, until] : life.runs) {
+    SimulatedRequest& request = requests_[key];
+    if (request.call != 0) fault("two calls out");
+    if (request.answered || request.gone) fault("a call after the end");
+    if (attempt <= request.attempt) fault("an attempt's number does not rise");
+    for (const auto& [earlier, until] : request.runs) {
       if (until > now_ + 1e-9) fault("attempt " + std::to_string(earlier) + " may still run");
     }
-    life.call = call;
-    life.engine = engine;
-    life.attempt = attempt;
-    life.writes = writes;
-    life.started = false;
+    request.call = call;
+    request.engine = engine;
+    request.attempt = attempt;
+    request.writes = writes;
+    request.started = false;
   }
 
   void calledOff(CallKey call) {
-    for (auto& [key, life] : lives_) {
-      if (life.call != call) continue;
-      if (life.started) life.runs[life.attempt] = now_ + lease_;
-      over(life);
+    for (auto& [key, request] : requests_) {
+      if (request.call != call) continue;
+      if (request.started) request.runs[request.attempt] = now_ + lease_;
+      over(request);
     }
   }
 
   void delivered(const router::SendToken& token) {
-    Life& life = lives_[token.request];
-    if (life.answered || life.gone) fault("a token after the end");
-    if (token.index != life.next || token.text != std::to_string(token.index)) fault("a wrong token");
-    ++life.next;
+    SimulatedRequest& request = requests_[token.request];
+    if (request.answered || request.gone) fault("a token after the end");
+    if (token.index != request.next || token.text != std::to_string(token.index)) fault("a wrong token");
+    ++request.next;
   }
 
-  void answered(Life& life) {
-    if (std::exchange(life.answered, true)) fault("a second answer");
-    if (life.gone) fault("an answer to a client that left");
+  void answered(SimulatedRequest& request) {
+    if (std::exchange(request.answered, true)) fault("a second answer");
+    if (request.gone) fault("an answer to a client that left");
   }
 
   router::Core core_;
   double lease_;
   double now_ = 1;
-  std::map<RequestKey, Life> lives_;
+  std::map<RequestKey, SimulatedRequest> requests_;
   std::string fault_;
 };
 
@@ -290,7 +292,7 @@
   FaultSearchResult result_;
 };
 
-// One life of several streams, drawn from the seed.
+// One request of several streams, drawn from the seed.
 std::string liveOnce(const FaultSearchOptions& options, std::uint64_t seed, FaultSearchResult& result) {
   std::mt19937_64 random(seed);
   World world(options);
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -17,17 +17,17 @@
 }
 
 void Relay::onGenerate(const std::shared_ptr<grpc::ServerCall>& call, std::string_view bytes) {
-  v1::GenerateRequest ask;
-  if (!ask.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+  v1::GenerateRequest request;
+  if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return call->finish({grpc::Code::kInvalidArgument, "request"});
   const std::size_t reader = ++nextEngine_ % prefillEngines_.size();
   v1::PrefillRequest read;
-  read.set_prompt(ask.prompt());
-  read.set_prompt_tokens(ask.prompt_tokens());
+  read.set_prompt(request.prompt());
+  read.set_prompt_tokens(request.prompt_tokens());
   v1::DecodeRequest decode;
-  decode.set_seed(ask.seed());
-  decode.set_max_output_tokens(ask.max_output_tokens());
-  decode.set_prompt_tokens(ask.prompt_tokens());
+  decode.set_seed(request.seed());
+  decode.set_max_output_tokens(request.max_output_tokens());
+  decode.set_prompt_tokens(request.prompt_tokens());
   decode.set_reader_address(readerAddresses_[reader].text());
   const auto first = prefillEngines_[reader]->start("/gannetcourse.v1.Engine/Prefill",
                                                     read.SerializeAsString(), call->timeout());
--- a/tests/core_continuation_test.cpp
+++ b/tests/core_continuation_test.cpp
@@ -43,20 +43,22 @@
   EXPECT_EQ(core.counters().continued, 1u);
 }
 
+// A request for the rest of a stream whose client has three tokens of attempt 1.
+NewRequest resumedRequest(RequestKey key, const std::string& id) {
+  NewRequest request;
+  request.key = key;
+  request.timeUntilDeadline = Duration(10);
+  auto payload = std::make_shared<RequestPayload>();
+  payload->prompt = "p";
+  payload->promptTokens = 1000;
+  payload->maxOutputTokens = 100;
+  request.payload = payload;
+  request.resumedStream = ResumedStream{id, 1, EngineId{2}, 3, "abc"};
+  return request;
+}
+
 TEST_F(CoreContinuationTest, AStreamOfAnotherRouterIsResumedOnceItsAttemptIsFenced) {
-  const auto resume = [&](RequestKey key, const std::string& id) {
-    NewRequest arrival;
-    arrival.key = key;
-    arrival.timeUntilDeadline = Duration(10);
-    auto payload = std::make_shared<RequestPayload>();
-    payload->prompt = "p";
-    payload->promptTokens = 1000;
-    payload->maxOutputTokens = 100;
-    arrival.payload = payload;
-    arrival.resumedStream = ResumedStream{id, 1, EngineId{2}, 3, "abc"};
-    core.onRequest(at(1), std::move(arrival));
-  };
-  resume(7, "m-4");
+  core.onRequest(at(1), resumedRequest(7, "m-4"));
   const auto fences = commandsOf<FenceAttempt>(takeCommands());
   ASSERT_EQ(fences.size(), 1u);
   EXPECT_EQ(fences.front().id, "m-4");
@@ -74,7 +76,7 @@
   core.onToken(at(1.3), decode.call, 3, "d");
   EXPECT_EQ(commandsOf<SendToken>(takeCommands()).front().index, 3u);
   // Its client resumes once more: the call that it left gets its response, and nothing runs twice.
-  resume(8, "m-4");
+  core.onRequest(at(1), resumedRequest(8, "m-4"));
   takeCommands();
   EXPECT_EQ(commandsOf<CancelCall>(lastCommands).size(), 1u);
   ASSERT_EQ(commandsOf<FinalResponse>(lastCommands).size(), 1u);
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -12,6 +12,7 @@
 #include <random>
 #include <sstream>
 
+#include "digest.h"
 #include "gannetcourse/router.h"
 #include "harness.h"
 
@@ -92,24 +93,6 @@
   std::map<RecordKind, std::size_t> kinds_;
 };
 
-// FNV-1a over lines.
-class Digest {
- public:
-  void add(const std::string& line) {
-    for (const char c : line + "\n") hash_ = (hash_ ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    ++lines_;
-  }
-  std::string text() const {
-    char text[64];
-    std::snprintf(text, sizeof text, "%016llx %zu", static_cast<unsigned long long>(hash_), lines_);
-    return text;
-  }
-
- private:
-  std::uint64_t hash_ = 0xcbf29ce484222325ULL;
-  std::size_t lines_ = 0;
-};
-
 // One core among simulated engines and clients for some seconds: requests and resumed streams, calls that
 // succeed and fail, silence, tokens out of order, fences, drains, removals, disconnects, and new settings.
 class SimulatedRun {
@@ -346,7 +329,7 @@
   Settings settings_;
   Core core_;
   CommandText commandText_;
-  Digest digest_;
+  test::Digest digest_;
   std::vector<EngineEntry> entries_;
   std::map<CallKey, CallInFlight> callsInFlight_;
   double now_ = 1;
