--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -7,20 +7,21 @@
 namespace gannetcourse::recovery {
 namespace {
 
-constexpr double kClassIntervalGain = 0.05;     // how far one token moves the average of its class
-constexpr double kStreamIntervalGain = 0.25;    // the same of its own stream
-constexpr std::uint64_t kMinTokensForSlow = 6;  // before a stream's own average means something
+// Weights of one token in the moving averages of token intervals.
+constexpr double kClassIntervalGain = 0.05;
+constexpr double kStreamIntervalGain = 0.25;
+constexpr std::uint64_t kMinTokensForSlow = 6;  // a stream's average is not reliable with fewer tokens
 constexpr int kAttemptsPerContinuation = 2;     // a prefill and a decode call
 const Duration kCheckInterval{0.1};
-const Duration kInitialTokenInterval{0.05};  // of a class without any token yet
-const Duration kMinTokenInterval{1e-6};      // tokens that come together would make an average of zero
+const Duration kInitialTokenInterval{0.05};  // assumed for a class before its first interval
+const Duration kMinTokenInterval{1e-6};      // keeps averages above zero when tokens arrive together
 
-constexpr const char* kSilent = "went silent";
-constexpr const char* kSlow = "too slow to be in time";
-constexpr const char* kEngineEnds = "its writer is leaving";
+constexpr const char* kSilentReason = "went silent";
+constexpr const char* kSlowReason = "too slow to be in time";
+constexpr const char* kEngineShutdownReason = "its writer is leaving";
 
-double tokensLeft(const Stream& start, std::uint64_t tokens) {
-  return start.remainingTokens - static_cast<double>(tokens);
+double tokensLeft(const Stream& start, std::uint64_t tokensReceived) {
+  return start.remainingTokens - static_cast<double>(tokensReceived);
 }
 
 }  // namespace
@@ -43,7 +44,7 @@
   return classIndex < limits_.priorityWeights.size() ? limits_.priorityWeights[classIndex] : 1;
 }
 
-// ---- Streams that run ----
+// ---- Running streams ----
 
 void Recovery::onStreamStarted(Instant now, StreamKey stream, const Stream& started) {
   TrackedStream& tracked = streams_[stream];
@@ -56,12 +57,12 @@
   lastTokenAt_ = now;
 }
 
-// Only intervals of streams whose client reads count. A long one counts as minSilence, or a single hang would
-// raise the average.
+// Updates the averages with the time since the stream's last token. The interval is limited to minSilence, so
+// that a single stall does not raise the averages. Not called while the client is paused.
 void Recovery::updateTokenInterval(Instant now, TrackedStream& stream) {
   const Duration interval = std::clamp(now - stream.lastTokenAt, kMinTokenInterval, limits_.minSilence);
-  Duration& ofClass = mutableClassTokenInterval(stream.start.classIndex);
-  ofClass += (interval - ofClass) * kClassIntervalGain;
+  Duration& classInterval = mutableClassTokenInterval(stream.start.classIndex);
+  classInterval += (interval - classInterval) * kClassIntervalGain;
   const bool isFirstInterval = stream.tokens <= 1;
   if (isFirstInterval) {
     stream.tokenInterval = interval;
@@ -69,7 +70,7 @@
     stream.tokenInterval = stream.tokenInterval + (interval - stream.tokenInterval) * kStreamIntervalGain;
   }
   const bool isSlow =
-      stream.tokens >= kMinTokensForSlow && stream.tokenInterval > ofClass * limits_.slowFactor;
+      stream.tokens >= kMinTokensForSlow && stream.tokenInterval > classInterval * limits_.slowFactor;
   if (isSlow && !stream.isSlow) stream.slowSince = now;
   stream.isSlow = isSlow;
 }
@@ -97,7 +98,7 @@
   const auto it = streams_.find(stream);
   if (it == streams_.end()) return;
   it->second.isPaused = paused;
-  it->second.lastTokenAt = now;  // after a pause the tokens that were kept back come first
+  it->second.lastTokenAt = now;  // the pause itself must not count as silence
 }
 
 void Recovery::onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt) {
@@ -124,26 +125,28 @@
 
 // ---- Migration ----
 
-// A stream that could not be continued elsewhere is better off where it is.
+// A stream that could not be continued at another engine is not migrated: it may still complete at its own.
 bool Recovery::canMigrate(Instant now, StreamKey key, const TrackedStream& stream) const {
   if (stream.isPaused || stream.isLost || stream.tokens == 0) return false;
-  LostStream afterwards;
-  afterwards.stream = key;
-  afterwards.classIndex = stream.start.classIndex;
-  afterwards.timeUntilDeadline = stream.start.deadline - now;
-  afterwards.continuations = stream.start.continuations;
-  afterwards.attempts = stream.start.attempts;
-  return reasonAgainstContinuation(afterwards) == nullptr;
+  LostStream migrated;
+  migrated.stream = key;
+  migrated.classIndex = stream.start.classIndex;
+  migrated.timeUntilDeadline = stream.start.deadline - now;
+  migrated.continuations = stream.start.continuations;
+  migrated.attempts = stream.start.attempts;
+  return reasonAgainstContinuation(migrated) == nullptr;
 }
 
-// Where no stream brings anything, the router or the network stands still, not an engine.
+// If no stream receives tokens, the cause is the router or the network and not a single engine. A stream
+// therefore counts as silent only if another one has received a token since.
 bool Recovery::isSilent(Instant now, const TrackedStream& stream) const {
   const Duration typical = classTokenInterval(stream.start.classIndex);
-  const Duration patience = std::max(limits_.minSilence, typical * limits_.silenceFactor);
-  const bool othersGoOn = lastTokenAt_ > stream.lastTokenAt + patience / 2;
-  return now - stream.lastTokenAt > patience && othersGoOn;
+  const Duration maxSilence = std::max(limits_.minSilence, typical * limits_.silenceFactor);
+  const bool othersReceiveTokens = lastTokenAt_ > stream.lastTokenAt + maxSilence / 2;
+  return now - stream.lastTokenAt > maxSilence && othersReceiveTokens;
 }
 
+// Whether the stream, at the typical rate of its class, would end after the announced shutdown of its engine.
 bool Recovery::outlastsItsEngine(Instant now, const TrackedStream& stream) const {
   const auto shutdown = shutdownAt_.find(stream.start.engine);
   if (shutdown == shutdownAt_.end()) return false;
@@ -151,20 +154,21 @@
   return now + typical * tokensLeft(stream.start, stream.tokens) > shutdown->second;
 }
 
-// Whether it would miss its deadline here and meet it elsewhere.
+// Whether the stream would miss its deadline at its current engine, but meet it at another engine at the
+// typical rate of its class.
 bool Recovery::wouldGainByMigration(Instant now, const TrackedStream& stream) const {
   const double left = tokensLeft(stream.start, stream.tokens);
   const Duration typical = classTokenInterval(stream.start.classIndex);
-  const bool isLateHere = now + stream.tokenInterval * left > stream.start.deadline;
-  const bool isInTimeElsewhere = now + limits_.minTimeLeft + typical * left < stream.start.deadline;
-  return isLateHere && isInTimeElsewhere;
+  const bool isLateAtEngine = now + stream.tokenInterval * left > stream.start.deadline;
+  const bool isInTimeAfterMigration = now + limits_.minTimeLeft + typical * left < stream.start.deadline;
+  return isLateAtEngine && isInTimeAfterMigration;
 }
 
 const char* Recovery::reasonToMigrate(Instant now, const TrackedStream& stream) const {
-  if (isSilent(now, stream)) return kSilent;
-  if (outlastsItsEngine(now, stream)) return kEngineEnds;
+  if (isSilent(now, stream)) return kSilentReason;
+  if (outlastsItsEngine(now, stream)) return kEngineShutdownReason;
   const bool isSlowForLong = stream.isSlow && now - stream.slowSince > limits_.slowDuration;
-  if (isSlowForLong && wouldGainByMigration(now, stream)) return kSlow;
+  if (isSlowForLong && wouldGainByMigration(now, stream)) return kSlowReason;
   return nullptr;
 }
 
@@ -177,7 +181,7 @@
     candidate.migration = {key, reason};
     candidate.priorityWeight = priorityWeight(stream.start.classIndex);
     candidate.tokensToPrefill = stream.start.promptTokens + static_cast<double>(stream.tokens);
-    if (reason == kEngineEnds) candidate.endingEngine = stream.start.engine;
+    if (reason == kEngineShutdownReason) candidate.endingEngine = stream.start.engine;
     candidates.push_back(candidate);
   }
   std::sort(candidates.begin(), candidates.end(),
@@ -188,8 +192,8 @@
   return candidates;
 }
 
-// How many streams may leave each engine at this check, so that all are elsewhere in time and not all at
-// once.
+// How many streams to migrate at this check from each engine that shuts down. The streams are spread evenly
+// over the remaining checks before the engine's shutdown less migrationLeadTime.
 std::map<EngineId, std::size_t> Recovery::migrationWaveSizes(
     Instant now, const std::vector<MigrationCandidate>& candidates) const {
   std::map<EngineId, std::size_t> sizes;
@@ -225,7 +229,7 @@
   return migrations;
 }
 
-// ---- Streams that are lost ----
+// ---- Lost streams ----
 
 const char* Recovery::reasonAgainstContinuation(const LostStream& stream) const {
   if (!limits_.enabled) return "recovery is off";
@@ -245,7 +249,8 @@
   });
 }
 
-// Against a storm of continuations, what they prefill is a share of what new requests do, plus a burst.
+// The budget limits the prompt tokens that continuations prefill to a share of those of new requests, plus a
+// burst. Otherwise the loss of many streams at once would overload the remaining engines.
 Decision Recovery::onStreamLost(Instant now, const LostStream& stream) {
   const char* const reasonAgainst = reasonAgainstContinuation(stream);
   if (reasonAgainst != nullptr) return {Disposition::kGiveUp, reasonAgainst};
--- a/src/resume/seal.cpp
+++ b/src/resume/seal.cpp
@@ -15,7 +15,8 @@
 namespace gannetcourse::resume {
 namespace {
 
-// A sealed text: length of the key's name, the name, nonce, tag, cipher text. The name is authenticated too.
+// Format of a sealed text: length of the key's name (1 byte), the name, nonce, tag, cipher text. The name is
+// not encrypted, but authenticated.
 constexpr std::size_t kNonceBytes = 12;
 constexpr std::size_t kTagBytes = 16;
 constexpr std::size_t kMaxNameLength = 16;
@@ -32,7 +33,7 @@
 unsigned char* toBytes(std::string& text) { return reinterpret_cast<unsigned char*>(text.data()); }
 
 void requireSuccess(int result) {
-  if (result != 1) throw std::runtime_error("OpenSSL cannot seal");
+  if (result != 1) throw std::runtime_error("OpenSSL failed to encrypt a resume token with AES-256-GCM");
 }
 
 bool parseHex(const std::string& text, std::array<unsigned char, 32>& bytes) {
@@ -43,11 +44,11 @@
 }
 
 bool isKeyName(const std::string& name) {
-  const auto allowed = [](char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-'; };
-  return !name.empty() && name.size() <= kMaxNameLength && std::all_of(name.begin(), name.end(), allowed);
+  const auto isAllowed = [](char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-'; };
+  return !name.empty() && name.size() <= kMaxNameLength && std::all_of(name.begin(), name.end(), isAllowed);
 }
 
-// A sealed text in its parts, which refer to it.
+// The fields of a sealed text. They refer to the sealed text, which must outlive them.
 struct SealedParts {
   std::string_view keyName, nonce, tag, cipherText;
 };
@@ -67,7 +68,7 @@
   std::ifstream file(path);
   if (!file)
     throw config::InvalidFile(
-        {{path, 0, "the key file cannot be read", "name a file that this user may read"}});
+        {{path, 0, "the key file cannot be read", "specify a file that the router's user can read"}});
   std::ostringstream text;
   text << file.rdbuf();
   return parse(text.str(), path);
@@ -85,17 +86,20 @@
     if (!(words >> key.name)) continue;
     words >> hex >> excess;
     if (!isKeyName(key.name)) {
-      faults.push_back({file, number, "a key's name is not 1 to 16 letters, digits or '-'", "rename it"});
+      faults.push_back(
+          {file, number, "the key's name must consist of 1 to 16 letters, digits or '-'", "rename the key"});
     } else if (!excess.empty() || !parseHex(hex, key.bytes)) {
-      faults.push_back({file, number, "key '" + key.name + "' is not 64 hexadecimal digits", kKeyLineRemedy});
+      faults.push_back({file, number, "the value of key '" + key.name + "' must be 64 hexadecimal digits",
+                        kKeyLineRemedy});
     } else if (sealer.findKey(key.name) != nullptr) {
-      faults.push_back({file, number, "key '" + key.name + "' is there twice", "remove one"});
+      faults.push_back(
+          {file, number, "key '" + key.name + "' is defined more than once", "remove or rename one"});
     } else {
       sealer.keys_.push_back(key);
     }
   }
   if (sealer.keys_.empty() && faults.empty())
-    faults.push_back({file, 1, "the file holds no key", kKeyLineRemedy});
+    faults.push_back({file, 1, "the file contains no key", kKeyLineRemedy});
   if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return sealer;
 }
@@ -107,7 +111,7 @@
 }
 
 std::string Sealer::seal(std::string_view text) const {
-  if (keys_.empty()) throw std::runtime_error("there is no key to seal with");
+  if (keys_.empty()) throw std::runtime_error("cannot seal a resume token: no key is configured");
   const Key& key = keys_.front();
   std::string nonce(kNonceBytes, '\0'), tag(kTagBytes, '\0'), cipherText(text.size(), '\0');
   requireSuccess(RAND_bytes(toBytes(nonce), kNonceBytes));
--- a/src/resume/seal.h
+++ b/src/resume/seal.h
@@ -1,5 +1,5 @@
-// Seals the resume tokens that clients carry from one node to another: AES-256-GCM by OpenSSL, under keys
-// that all nodes of a deployment share and that may change in service.
+// Encrypts and authenticates resume tokens, which clients present to another node to resume a stream. Uses
+// AES-256-GCM of OpenSSL with keys that all nodes of a deployment share and that can be rotated in operation.
 #pragma once
 
 #include <array>
@@ -10,22 +10,23 @@
 
 namespace gannetcourse::resume {
 
-/// Encrypts and authenticates short texts. A value type that owns its keys; const methods are thread-safe.
+/// Encrypts and decrypts short texts. A value type that owns its keys; const methods are thread-safe.
 class Sealer {
  public:
-  /// Reads a key file: lines "NAME HEX", NAME of 1 to 16 letters, digits or '-', HEX of 64 digits; '#' begins
-  /// a comment. The first key seals, all of them open. Throws config::InvalidFile.
+  /// Reads a key file with lines "NAME HEX": NAME has 1 to 16 letters, digits or '-', HEX has 64 hexadecimal
+  /// digits; '#' begins a comment. seal() uses the first key, open() uses all keys. Throws
+  /// config::InvalidFile if the file cannot be read or is malformed.
   static Sealer load(const std::string& path);
-  /// The same for text; `file` stands for the file in faults.
+  /// The same for the text of a key file; `file` is the file name in reported faults.
   static Sealer parse(std::string_view text, const std::string& file);
 
-  Sealer() = default;  ///< Without a key: opens nothing and must not be asked to seal.
+  Sealer() = default;  ///< Has no key: open() returns nothing and seal() throws.
   bool hasKey() const { return !keys_.empty(); }
 
-  /// Equal texts are sealed differently each time. Throws std::runtime_error where there is no key or no
-  /// randomness.
+  /// Encrypts the text under a random nonce, so that the result differs each time. Throws std::runtime_error
+  /// if there is no key or OpenSSL fails.
   std::string seal(std::string_view text) const;
-  /// The text; nothing where no key of this file sealed it, or it was changed.
+  /// Decrypts a sealed text. Absent if it was not sealed under one of these keys, or was modified.
   std::optional<std::string> open(std::string_view sealed) const;
 
  private:
--- a/src/router/attempt_tracker.cpp
+++ b/src/router/attempt_tracker.cpp
@@ -70,7 +70,8 @@
   context_.emit(CancelCall{key});
   const Call call = close(key, outcome);
   log_.attempt(request, RecordKind::kCallCancelled, call.engine, call.attempt, reason);
-  // Its response may be on the way.
+  // The engine may already have completed the prefill or received the decode call: its response may be in
+  // flight.
   if (call.kind == CallKind::kPrefill) {
     releaser_.orphanedStates().addPrefill(context_.now, {request.id, call.attempt, call.engine});
   } else if (request.stateEngine) {
--- a/src/router/attempt_tracker.h
+++ b/src/router/attempt_tracker.h
@@ -13,8 +13,8 @@
 
 namespace gannetcourse::router {
 
-/// Starts, times out, cancels and closes calls. What a call says after its end finds no call here and is
-/// ignored.
+/// Owns the calls in flight: starts, times out, cancels and closes them. Events of a call that has already
+/// ended are ignored, since its key is no longer found.
 class AttemptTracker {
  public:
   AttemptTracker(CoreContext& context, RecordLog& log, RequestTable& requests, StateReleaser& releaser)
@@ -23,19 +23,20 @@
   /// Starts a call for the request, which must have none in flight.
   void start(Request& request, const StartAttempt& attempt, CallKind kind);
 
-  /// Null where the call is over; valid until the call is closed.
+  /// The call in flight with this key, or null if it has ended. Valid until the call is closed.
   Call* find(CallKey key);
 
-  /// The client waits for nothing but the stream's own deadline any more.
-  void stopTimeout(Call& call) { context_.timers.cancel(call.timeout); }
-  /// The call's time-out has fired: cancels it. Absent where the call is over.
+  /// Cancels the call's time-out. From the first token on only the request's deadline limits the stream.
+  void cancelTimeout(Call& call) { context_.timers.cancel(call.timeout); }
+  /// Cancels a call whose time-out has fired and returns the event for the policy; absent if the call has
+  /// ended.
   std::optional<AttemptEnded> onTimeout(CallKey key);
 
-  /// The engine has ended the call, which must be in flight.
+  /// Removes a call that its engine has ended and returns it. The call must be in flight.
   Call close(CallKey key, Outcome outcome);
 
-  /// Ends the request's call from this side and returns the event for the policy; absent where none is in
-  /// flight. What it may leave at its engine is released as an orphaned state.
+  /// Cancels the request's call and returns the event for the policy; absent if no call is in flight. A state
+  /// that the attempt may leave at its engine is released as an orphaned state.
   std::optional<AttemptEnded> cancel(Request& request, Outcome outcome, const char* reason);
 
  private:
--- a/src/router/call_kind.h
+++ b/src/router/call_kind.h
@@ -1,9 +1,10 @@
-// What a call to an engine does for its request.
+// The kinds of calls to engines.
 #pragma once
 
 namespace gannetcourse::router {
 
-/// What the call asks of its engine. Without a waiting state a decode call includes the prefill.
+/// Whether a call runs the prefill or the decode of its request. A decode call for a request without a
+/// prefilled state includes the prefill.
 enum class CallKind { kPrefill, kDecode };
 
 }  // namespace gannetcourse::router
--- a/src/router/core.cpp
+++ b/src/router/core.cpp
@@ -1,5 +1,5 @@
-// The façade over the parts of a core: each input is one step, and at the end of each the requests that have
-// become finished are forgotten.
+// The facade over the components of a core. Each input is processed as one step; at the end of a step the
+// requests that have finished are erased.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -22,8 +22,8 @@
 namespace gannetcourse::router {
 namespace {
 
-// By which share of the response margin the core's own limit on a request comes before its deadline: the
-// policy's, which comes a full margin before, takes effect first.
+// The core ends a request this share of the response margin before the request's deadline. The policy's own
+// limit is a full margin before the deadline, so that it takes effect first.
 constexpr double kTimeoutMarginShare = 0.5;
 
 }  // namespace
@@ -40,7 +40,7 @@
         continuation_(context_, log_, requests_, attempts_, completion_, policy_),
         actions_(
             {context_, log_, roles_, requests_, releaser_, attempts_, policy_, completion_, continuation_}) {}
-  Impl(const Impl&) = delete;  // its parts refer to each other
+  Impl(const Impl&) = delete;  // the components hold references to each other
   Impl& operator=(const Impl&) = delete;
 
   // ---- Discovery and settings ----
@@ -112,7 +112,7 @@
       return;
     }
     if (index > request.nextTokenIndex)
-      return continuation_.takeFromEngine(request, Outcome::kError, "token out of order");
+      return continuation_.cancelAndContinue(request, Outcome::kError, "token out of order");
     ++request.nextTokenIndex;
     ++context_.counters.tokens;
     const bool isFirst = !std::exchange(request.isStreaming, true);
@@ -129,8 +129,8 @@
     if (attempts_.find(key) == nullptr) return;
     const Call call = attempts_.close(key, outcome);
     Request& request = *call.request;
-    // The decode engine may only have failed to reach the prefill engine: the state is released at the
-    // request's end all the same.
+    // The decode engine may only have failed to reach the prefill engine, which then still has the state.
+    // The state is therefore released when the request ends.
     if (outcome == Outcome::kStateLost) context_.guard.onStateTransferred(request.key);
     if (call.kind == CallKind::kPrefill)
       releaser_.orphanedStates().onPrefillEnded(context_.now, {request.id, call.attempt, call.engine},
@@ -162,8 +162,8 @@
     while (std::optional<Timer> timer = context_.timers.takeDue(context_.now)) onTimer(*timer);
   }
 
-  // Forgets the requests that have become finished in this step.
-  void settle() {
+  // Ends a step: erases the requests that it finished and sends the releases that are due.
+  void finishStep() {
     for (const RequestKey key : requests_.takeTouched()) {
       Request* const request = requests_.find(key);
       if (request != nullptr && request->isFinished()) forget(*request);
@@ -181,7 +181,7 @@
  private:
   Request& accept(NewRequest arrival) {
     ++context_.counters.accepted;
-    const std::string name = context_.options.nodeName + "-" + std::to_string(++lastName_);
+    const std::string name = context_.options.nodeName + "-" + std::to_string(++lastRequestNumber_);
     Request& request = requests_.add(arrival.key, name);
     if (!arrival.id.empty()) request.id = arrival.id;
     request.payload = arrival.payload;
@@ -195,7 +195,7 @@
     return request;
   }
 
-  // The state is with the decode engine now.
+  // The first token shows that the decode engine has taken the state.
   void onFirstToken(Call& call) {
     Request& request = *call.request;
     releaser_.orphanedStates().onFirstToken(request.id, call.engine, call.startedAt);
@@ -217,7 +217,7 @@
       case TimerKind::kStreamCheck:
         return continuation_.onTimer();
       case TimerKind::kOrphanedStates:
-        return releaser_.onTimer();  // settle() sends the releases
+        return releaser_.onTimer();  // finishStep() sends the releases
     }
   }
 
@@ -232,7 +232,7 @@
   }
 
   void forget(Request& request) {
-    releaser_.releaseState(request);  // the policy has released it where it knew of it
+    releaser_.releaseState(request);  // no-op if the policy has already released it
     releaser_.releaseReservation(request);
     continuation_.forget(request.key);
     context_.guard.forget(request.key);
@@ -251,14 +251,14 @@
   StreamContinuation continuation_;
   PolicyActions actions_;
   bool isDraining_ = false;
-  std::uint64_t lastName_ = 0;
+  std::uint64_t lastRequestNumber_ = 0;
 };
 
 template <class Step>
 void Core::step(Instant now, const Step& perform) {
   impl_->context().now = std::max(impl_->context().now, now);
   perform(*impl_);
-  impl_->settle();
+  impl_->finishStep();
 }
 
 Core::Core(const Settings& settings, Options options)
--- a/src/router/core_context.h
+++ b/src/router/core_context.h
@@ -1,4 +1,5 @@
-// What the parts of a core share: the time, the settings, the commands for the host, counters and timers.
+// The data that the components of a core share: the time, the settings, the commands for the host, counters
+// and timers.
 #pragma once
 
 #include <utility>
@@ -11,7 +12,7 @@
 
 namespace gannetcourse::router {
 
-/// Owned by the core; its parts hold references to it.
+/// Shared state of one core. Owned by the core; its components hold references to it.
 struct CoreContext {
   CoreContext(const Settings& initialSettings, Options coreOptions)
       : settings(initialSettings), options(std::move(coreOptions)), guard(initialSettings) {}
@@ -21,7 +22,8 @@
     commands.emplace_back(std::move(command));
   }
 
-  /// Until a response has to leave, so that it reaches the client before the deadline.
+  /// Time left until a response must be sent so that it reaches the client before the deadline; negative once
+  /// that time has passed.
   Duration timeUntilResponse(const Request& request) const {
     return request.deadline - now - options.responseMargin;
   }
@@ -30,7 +32,7 @@
   Settings settings;
   Options options;
   Instant now{};
-  std::vector<Command> commands;  ///< Since the host took them last.
+  std::vector<Command> commands;  ///< Commands that the host has not taken yet.
   Counters counters;
   TimerQueue timers;
   InvariantGuard guard;
--- a/src/router/engine_roles.h
+++ b/src/router/engine_roles.h
@@ -1,4 +1,4 @@
-// Which role each listed engine has. No attempt is started at an engine that is not listed.
+// The role of each engine in the current engine list. No attempt is started at an engine that is not listed.
 #pragma once
 
 #include <map>
@@ -9,10 +9,10 @@
 
 namespace gannetcourse::router {
 
-/// The list of engines as far as the core needs it, kept by the updates of discovery.
+/// Owns the roles of the listed engines, which are updated from each EngineListUpdate.
 class EngineRoles {
  public:
-  /// Returns the engines that the update names as removed.
+  /// Applies the update and returns the engines that it marks as removed.
   std::vector<EngineId> apply(const EngineListUpdate& update) {
     std::vector<EngineId> removed;
     const bool replacesAll = update.scope == EngineListUpdate::Scope::kSnapshot ||
@@ -29,7 +29,7 @@
     return removed;
   }
 
-  /// Absent where the engine is not listed.
+  /// The engine's role; absent if the engine is not listed.
   std::optional<Role> roleOf(EngineId engine) const {
     const auto it = roles_.find(engine);
     if (it == roles_.end()) return std::nullopt;
--- a/src/router/invariant_guard.cpp
+++ b/src/router/invariant_guard.cpp
@@ -5,19 +5,20 @@
 namespace gannetcourse::router {
 namespace {
 
-// A response that is late by less only loses its value.
+// A response that is late by no more than this is of little use to its client but does not count as a
+// violation.
 const Duration kLateResponseTolerance{0.5};
 
-// Told apart here as well as in the policy (RetrySafety): the guard checks it independently.
+// The policy (RetrySafety) has the same rule. It is repeated here because the guard checks independently.
 bool certainlyNotExecuted(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kStateLost ||
          outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-// Only an engine's response shows that an attempt has arrived and renewed the lease of its state.
+// Only an engine's response proves that an attempt has reached the engine and renewed the state lease.
 bool certainlyArrived(Outcome outcome) { return outcome == Outcome::kRejected || outcome == Outcome::kError; }
 
-bool isHarmlessToRepeatAnywhere(const ClassSettings& classSettings) {
+bool isSafeToRetryAnywhere(const ClassSettings& classSettings) {
   if (classSettings.idempotency == Idempotency::kIdempotent) return true;
   return classSettings.idempotency == Idempotency::kIdempotencyKey &&
          classSettings.dedupScope == DedupScope::kAll;
@@ -47,61 +48,61 @@
 }
 
 void InvariantGuard::onAttemptStarted(Instant now, RequestKey request, EngineId engine, CallKind kind) {
-  WatchedRequest* const watched = find(request);
-  if (watched != nullptr) watched->attemptInFlight = Attempt{engine, kind, now};
+  TrackedRequest* const tracked = find(request);
+  if (tracked != nullptr) tracked->attemptInFlight = Attempt{engine, kind, now};
 }
 
 void InvariantGuard::onAttemptEnded(Instant now, RequestKey request, Outcome outcome) {
-  WatchedRequest* const watched = find(request);
-  if (watched == nullptr || !watched->attemptInFlight) return;
-  const Attempt attempt = *std::exchange(watched->attemptInFlight, std::nullopt);
+  TrackedRequest* const tracked = find(request);
+  if (tracked == nullptr || !tracked->attemptInFlight) return;
+  const Attempt attempt = *std::exchange(tracked->attemptInFlight, std::nullopt);
   const bool mayHaveExecuted = attempt.kind == CallKind::kDecode && !certainlyNotExecuted(outcome);
-  if (mayHaveExecuted && !watched->firstExecution) {
+  if (mayHaveExecuted && !tracked->firstExecution) {
     const auto listed = engines_.find(attempt.engine);
     EngineEntry unlisted;
     unlisted.id = attempt.engine;
-    watched->firstExecution =
+    tracked->firstExecution =
         Execution{attempt.startedAt, listed == engines_.end() ? unlisted : listed->second};
   }
-  if (watched->stateLeasedSince && certainlyArrived(outcome)) watched->stateLeasedSince = now;
+  if (tracked->stateLeasedSince && certainlyArrived(outcome)) tracked->stateLeasedSince = now;
 }
 
 void InvariantGuard::onStateLeased(Instant now, RequestKey request) {
-  WatchedRequest* const watched = find(request);
-  if (watched != nullptr) watched->stateLeasedSince = now;
+  TrackedRequest* const tracked = find(request);
+  if (tracked != nullptr) tracked->stateLeasedSince = now;
 }
 
 void InvariantGuard::onStateTransferred(RequestKey request) {
-  WatchedRequest* const watched = find(request);
-  if (watched != nullptr) watched->stateLeasedSince.reset();
+  TrackedRequest* const tracked = find(request);
+  if (tracked != nullptr) tracked->stateLeasedSince.reset();
 }
 
 std::optional<Violation> InvariantGuard::onStateReleased(Instant now, RequestKey request) {
-  WatchedRequest* const watched = find(request);
-  if (watched == nullptr || !watched->stateLeasedSince) return std::nullopt;
-  const Duration leasedFor = now - *std::exchange(watched->stateLeasedSince, std::nullopt);
+  TrackedRequest* const tracked = find(request);
+  if (tracked == nullptr || !tracked->stateLeasedSince) return std::nullopt;
+  const Duration leasedFor = now - *std::exchange(tracked->stateLeasedSince, std::nullopt);
   if (stateLeaseLimit_.count() <= 0 || leasedFor <= stateLeaseLimit_) return std::nullopt;
   return count(Violation::kStateLeaseExpired);
 }
 
 std::optional<Violation> InvariantGuard::onFinalResponse(Instant now, RequestKey request, Instant deadline) {
-  WatchedRequest* const watched = find(request);
-  if (watched == nullptr) return std::nullopt;
+  TrackedRequest* const tracked = find(request);
+  if (tracked == nullptr) return std::nullopt;
   std::optional<Violation> violation;
-  if (std::exchange(watched->hasResponse, true)) violation = count(Violation::kSecondResponse);
+  if (std::exchange(tracked->hasResponse, true)) violation = count(Violation::kSecondResponse);
   if (now > deadline + kLateResponseTolerance) violation = count(Violation::kLateResponse);
   return violation;
 }
 
 std::optional<Violation> InvariantGuard::checkAttempt(Instant now, RequestKey request, EngineId engine) {
-  const WatchedRequest* const watched = find(request);
-  if (watched == nullptr) return std::nullopt;
-  const std::optional<Violation> violation = violationOfAttempt(now, *watched, engine);
+  const TrackedRequest* const tracked = find(request);
+  if (tracked == nullptr) return std::nullopt;
+  const std::optional<Violation> violation = violationOfAttempt(now, *tracked, engine);
   if (violation) count(*violation);
   return violation;
 }
 
-std::optional<Violation> InvariantGuard::violationOfAttempt(Instant now, const WatchedRequest& request,
+std::optional<Violation> InvariantGuard::violationOfAttempt(Instant now, const TrackedRequest& request,
                                                             EngineId engine) const {
   if (request.hasResponse) return Violation::kAttemptAfterResponse;
   if (request.attemptInFlight) return Violation::kConcurrentAttempts;
@@ -113,9 +114,10 @@
   return std::nullopt;
 }
 
-// Whether a further attempt there has no second effect: its class is idempotent, or the engines that share
-// the first one's record of idempotency keys drop it.
-bool InvariantGuard::isRepeatWithoutEffect(Instant now, const WatchedRequest& request,
+// Whether a further attempt at `engine` has no second effect: the request's class is idempotent, or the
+// engine shares the record of idempotency keys with the engine of the first execution and drops the
+// duplicate.
+bool InvariantGuard::isRepeatWithoutEffect(Instant now, const TrackedRequest& request,
                                            const EngineEntry& engine) const {
   const ClassSettings& classSettings = classOf(request);
   if (classSettings.idempotency == Idempotency::kIdempotent) return true;
@@ -128,15 +130,15 @@
 }
 
 std::optional<Violation> InvariantGuard::checkRejection(RequestKey request) {
-  const WatchedRequest* const watched = find(request);
-  if (watched == nullptr) return std::nullopt;
-  const bool decodeInFlight = watched->attemptInFlight && watched->attemptInFlight->kind == CallKind::kDecode;
-  const bool mayHaveExecuted = watched->firstExecution || decodeInFlight;
-  if (!mayHaveExecuted || isHarmlessToRepeatAnywhere(classOf(*watched))) return std::nullopt;
+  const TrackedRequest* const tracked = find(request);
+  if (tracked == nullptr) return std::nullopt;
+  const bool decodeInFlight = tracked->attemptInFlight && tracked->attemptInFlight->kind == CallKind::kDecode;
+  const bool mayHaveExecuted = tracked->firstExecution || decodeInFlight;
+  if (!mayHaveExecuted || isSafeToRetryAnywhere(classOf(*tracked))) return std::nullopt;
   return count(Violation::kRejectedAfterStart);
 }
 
-InvariantGuard::WatchedRequest* InvariantGuard::find(RequestKey request) {
+InvariantGuard::TrackedRequest* InvariantGuard::find(RequestKey request) {
   const auto it = requests_.find(request);
   return it == requests_.end() ? nullptr : &it->second;
 }
--- a/src/router/invariant_guard.h
+++ b/src/router/invariant_guard.h
@@ -1,9 +1,9 @@
-// The last check of what leaves the core: whether an attempt or a rejection would break an invariant,
-// whatever asked for it. What would is not carried out, and counted; what has already happened is only
-// counted. No I/O, clock or threads.
+// Checks the core's invariants independently of the policy before commands leave the core. An attempt or a
+// rejection that would break an invariant is counted and not carried out; a violation that is detected only
+// afterwards, such as a late response, is counted. No I/O, clock or threads.
 //
-// The decision module keeps these invariants by itself. A count above zero is a fault of the program; it
-// appears in the node's statistics line and in its log.
+// The policy keeps these invariants by itself, so a count above zero is a bug in the program. The counts
+// appear in the node's statistics line and in its log.
 #pragma once
 
 #include <cstddef>
@@ -18,38 +18,39 @@
 
 namespace gannetcourse::router {
 
-/// Follows each request from accept to its last call. Inputs for unknown requests are ignored.
+/// Tracks each request from its acceptance until forget(). Events for unknown requests are ignored.
 class InvariantGuard {
  public:
   explicit InvariantGuard(const Settings& settings) { updateSettings(settings); }
 
-  /// Classes and the lease limit of new settings; what is known of requests stays.
+  /// Replaces the classes and the state lease limit; tracked requests are kept.
   void updateSettings(const Settings& settings);
-  /// Which engines may get attempts from now on.
+  /// Updates the engines that attempts may be started at.
   void onEngineListUpdate(const EngineListUpdate& update);
 
-  // ---- What happens to a request ----
-  /// `classIndex`: in Settings::classes. To be called before anything else of the request.
+  // ---- Events of a request ----
+  /// Must be the first call for the request. `classIndex` is the index in Settings::classes.
   void onRequestAccepted(RequestKey request, std::size_t classIndex);
-  /// The one attempt in flight, until onAttemptEnded().
+  /// An attempt was started; it is the only one in flight until onAttemptEnded().
   void onAttemptStarted(Instant now, RequestKey request, EngineId engine, CallKind kind);
   void onAttemptEnded(Instant now, RequestKey request, Outcome outcome);
-  /// A prefill has left a state: its lease begins.
+  /// A prefill has completed and its engine holds the state: the state lease begins.
   void onStateLeased(Instant now, RequestKey request);
-  void onStateTransferred(RequestKey request);  ///< To a decode engine: the lease is over.
-  /// A violation that these two return has been counted and is to be recorded.
+  /// A decode engine has taken the state: the state lease ends.
+  void onStateTransferred(RequestKey request);
+  /// Both return a violation that they have counted; the caller has to record it.
   std::optional<Violation> onStateReleased(Instant now, RequestKey request);
   std::optional<Violation> onFinalResponse(Instant now, RequestKey request, Instant deadline);
-  /// Nothing of the request is in flight any more.
+  /// Drops a request that is completed and has no call in flight.
   void forget(RequestKey request) { requests_.erase(request); }
 
-  // ---- What is about to happen ----
-  /// The invariant that a further attempt there would break, counted; absent where it breaks none.
+  // ---- Checks before an action ----
+  /// Counts and returns the invariant that an attempt at this engine would break; absent if it breaks none.
   std::optional<Violation> checkAttempt(Instant now, RequestKey request, EngineId engine);
-  /// The same for a rejection, which promises that nothing has run.
+  /// The same for a rejection, which tells the client that the request was not executed.
   std::optional<Violation> checkRejection(RequestKey request);
 
-  /// Violations since the start, by kind.
+  /// Number of violations since the start, by kind.
   const ViolationCounts& violations() const { return violations_; }
 
  private:
@@ -62,28 +63,29 @@
     Instant startedAt;
     EngineEntry engine;
   };
-  struct WatchedRequest {
+  struct TrackedRequest {
     std::size_t classIndex = 0;
     bool hasResponse = false;
     std::optional<Attempt> attemptInFlight;
-    std::optional<Execution> firstExecution;  // the first attempt that may have had its effect
-    // The end of its prefill, or of the last attempt that has certainly arrived at its engine.
+    std::optional<Execution> firstExecution;  // first attempt that may have executed the request
+    // When the state lease began or was last renewed: the end of the prefill, or of the last attempt that is
+    // certain to have reached its engine. Absent while no state is leased.
     std::optional<Instant> stateLeasedSince;
   };
 
-  std::optional<Violation> violationOfAttempt(Instant now, const WatchedRequest& request,
+  std::optional<Violation> violationOfAttempt(Instant now, const TrackedRequest& request,
                                               EngineId engine) const;
-  bool isRepeatWithoutEffect(Instant now, const WatchedRequest& request, const EngineEntry& engine) const;
-  const ClassSettings& classOf(const WatchedRequest& request) const {
+  bool isRepeatWithoutEffect(Instant now, const TrackedRequest& request, const EngineEntry& engine) const;
+  const ClassSettings& classOf(const TrackedRequest& request) const {
     return classes_.at(request.classIndex);
   }
-  WatchedRequest* find(RequestKey request);
+  TrackedRequest* find(RequestKey request);
   Violation count(Violation violation);
 
   std::vector<ClassSettings> classes_;
-  Duration stateLeaseLimit_{0};  // 0 = none
+  Duration stateLeaseLimit_{0};  // 0 = no limit
   std::map<EngineId, EngineEntry> engines_;
-  std::unordered_map<RequestKey, WatchedRequest> requests_;
+  std::unordered_map<RequestKey, TrackedRequest> requests_;
   ViolationCounts violations_{};
 };
 
--- a/src/router/orphaned_states.cpp
+++ b/src/router/orphaned_states.cpp
@@ -6,10 +6,11 @@
 namespace gannetcourse::router {
 namespace {
 
-const Duration kRepeatFor{8};            // how long an engine may stall and continue an attempt afterwards
-const Duration kRepeatFailedFor{2};      // the same for an attempt that seems to have ended with an error
-const Duration kDeferralInterval{0.05};  // between two checks whether the request is still busy
-// As shares of the lease limit: the interval of releases, and the longest that a release is deferred.
+// How long releases are repeated: an engine may stall for so long and then continue an abandoned attempt.
+const Duration kRepeatDuration{8};
+const Duration kFailedRepeatDuration{2};  // the same for a prefill that was reported as failed
+const Duration kDeferralInterval{0.05};   // between two checks whether the request is still busy
+// Shares of the lease limit: the interval between two releases, and the longest deferral of a release.
 constexpr double kRepeatIntervalShare = 0.7;
 constexpr double kMaxDeferralShare = 0.9;
 
@@ -20,15 +21,15 @@
   maxDeferral_ = leaseLimit * kMaxDeferralShare;
 }
 
-void OrphanedStates::add(Instant now, Instant dueAt, Attempt attempt, bool yieldsToLaterAttempts) {
+void OrphanedStates::add(Instant now, Instant dueAt, Attempt attempt, bool waitsUntilIdle) {
   if (entries_.size() >= kMaxEntries) entries_.pop_front();
-  entries_.push_back({std::move(attempt), now, dueAt, now, yieldsToLaterAttempts});
+  entries_.push_back({std::move(attempt), now, dueAt, now, waitsUntilIdle});
   nextDue_ = std::min(nextDue_.value_or(dueAt), dueAt);
 }
 
-// A prefill whose connection broke may have completed just before. An error may have been a late second
-// response to an earlier call on its connection, with the prefill still running: its state is released once
-// its request is over.
+// A prefill whose connection broke may have completed just before. A reported error may be a late second
+// response to an earlier call on the same connection while the prefill still runs; the state of such a
+// prefill is released once its request is no longer busy.
 void OrphanedStates::onPrefillEnded(Instant now, Attempt attempt, Outcome outcome,
                                     recovery::AttemptEnd attemptEnd) {
   const bool endIsUncertain = outcome == Outcome::kReset || attemptEnd == recovery::AttemptEnd::kAbandoned;
@@ -41,26 +42,26 @@
 
 void OrphanedStates::onEngineResponse(EngineId engine, Instant startedAt) {
   if (entries_.empty()) return;
-  Instant& newest = newestAnswered_.try_emplace(engine, startedAt).first->second;
+  Instant& newest = latestAnsweredStart_.try_emplace(engine, startedAt).first->second;
   newest = std::max(newest, startedAt);
 }
 
 void OrphanedStates::onFirstToken(const std::string& id, EngineId engine, Instant startedAt) {
   onEngineResponse(engine, startedAt);
   std::erase_if(entries_,
-                [&id](const Entry& entry) { return entry.yieldsToLaterAttempts && entry.attempt.id == id; });
+                [&id](const Entry& entry) { return entry.waitsUntilIdle && entry.attempt.id == id; });
 }
 
 bool OrphanedStates::isLastRelease(const Entry& entry, Instant now) const {
-  const Duration repeatFor = entry.yieldsToLaterAttempts ? kRepeatFailedFor : kRepeatFor;
-  const bool repeats = repeatInterval_.count() > 0 && now + repeatInterval_ <= entry.givenUpAt + repeatFor;
+  const Duration repeatFor = entry.waitsUntilIdle ? kFailedRepeatDuration : kRepeatDuration;
+  const bool repeats = repeatInterval_.count() > 0 && now + repeatInterval_ <= entry.abandonedAt + repeatFor;
   if (!repeats) return true;
-  const auto newest = newestAnswered_.find(entry.attempt.engine);
-  return newest != newestAnswered_.end() && newest->second >= entry.givenUpAt;
+  const auto newest = latestAnsweredStart_.find(entry.attempt.engine);
+  return newest != latestAnsweredStart_.end() && newest->second >= entry.abandonedAt;
 }
 
 Instant OrphanedStates::deferralLimit(const Entry& entry, Instant now) const {
-  if (entry.yieldsToLaterAttempts) return now + kDeferralInterval;
+  if (entry.waitsUntilIdle) return now + kDeferralInterval;
   return entry.lastReleaseAt + maxDeferral_;
 }
 
@@ -81,7 +82,7 @@
     nextDue_ = std::min(nextDue_.value_or(entry.dueAt), entry.dueAt);
     entries_.push_back(std::move(entry));
   }
-  if (entries_.empty()) newestAnswered_.clear();
+  if (entries_.empty()) latestAnsweredStart_.clear();
   return due;
 }
 
--- a/src/router/orphaned_states.h
+++ b/src/router/orphaned_states.h
@@ -1,9 +1,10 @@
-// States that attempts may have left at engines after the router gave these attempts up without the engine's
-// answer.
+// Schedules releases of states that attempts may have left at engines after the router abandoned the attempts
+// without the engine's response.
 //
-// The engine may not know of it: a prefill may still complete there after its state was released, and a
-// decode call may still wait for a state. Releases by the request's name are therefore repeated for a while,
-// or until the engine has shown that it has seen the end of the attempt. No I/O, no clock.
+// The engine may not have noticed that the router abandoned the attempt: a prefill may still complete after
+// its state was released, and a decode call may still wait for a state. Releases by request id are therefore
+// repeated for some seconds, or until the engine has shown that it has noticed the end of the attempt. No
+// I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -20,41 +21,44 @@
 
 namespace gannetcourse::router {
 
-/// Says when which release is to be sent; sends nothing itself.
+/// Owns the list of abandoned attempts and the times of their releases. The caller sends the releases.
 class OrphanedStates {
  public:
   /// An attempt that may have left a state.
   struct Attempt {
-    std::string id;  ///< The request's name for engines.
+    std::string id;  ///< The request's id at engines, Request::id.
     int number = 0;
     EngineId engine;
   };
-  /// Whether a request has a call in flight or a state that waits for its decode call.
+  /// Whether a request has a call in flight or a state that its decode call has not taken yet.
   using IsBusy = std::function<bool(const std::string& id)>;
 
-  static constexpr std::size_t kMaxEntries = 4096;  ///< Past it the oldest attempt is forgotten.
+  static constexpr std::size_t kMaxEntries = 4096;  ///< When it is exceeded, the oldest attempt is dropped.
 
   /// `leaseLimit`: how long a state may stay leased; 0 = no limit, and no release is repeated.
   explicit OrphanedStates(Duration leaseLimit) { updateLeaseLimit(leaseLimit); }
   void updateLeaseLimit(Duration leaseLimit);
 
-  /// A prefill was given up just now: its first release is due at once.
+  /// Adds a prefill that was abandoned at `now`. Its first release is due immediately.
   void addPrefill(Instant now, Attempt attempt) { add(now, now, std::move(attempt), false); }
-  /// A prefill has ended, as its engine or its connection reported.
+  /// Adds a prefill that its engine or its connection reported as ended, if it may have left a state.
   void onPrefillEnded(Instant now, Attempt attempt, Outcome outcome, recovery::AttemptEnd attemptEnd);
-  /// A decode call was given up just now: its state is known, and is first released by its handle.
+  /// Adds a decode call that was abandoned at `now`. Its state is known to the router, which releases it
+  /// itself; the first release from here is due one repeat interval later.
   void addDecode(Instant now, Attempt attempt) { add(now, now + repeatInterval_, std::move(attempt), false); }
-  /// An engine has responded to an attempt that started then: it has seen the end of those given up before.
+  /// The engine has responded to an attempt that was started at `startedAt`. It has therefore noticed the end
+  /// of all attempts that were abandoned before.
   void onEngineResponse(EngineId engine, Instant startedAt);
-  /// The same with the first token: nothing else of the request stays leased, so that its prefills that ended
-  /// with an error are forgotten.
+  /// The same for the first token of request `id`. No other state of the request stays leased then, so its
+  /// prefills that ended with an error are dropped.
   void onFirstToken(const std::string& id, EngineId engine, Instant startedAt);
 
-  /// When takeDue() is to be called.
+  /// When takeDue() must be called next; absent if there is no entry.
   std::optional<Instant> nextDue() const { return nextDue_; }
-  /// The attempts whose release is to be sent now. A release by name would also release what a later attempt
-  /// of the request needs: where `isBusy` says so, it is deferred for as long as the lease limit allows,
-  /// since the later attempt may not have arrived.
+  /// The attempts whose release must be sent now. A release by request id would also release the state of a
+  /// later attempt of the same request, so it is deferred while `isBusy` returns true. The deferral ends
+  /// before the lease limit, because the later attempt may not have reached the engine and renewed the lease.
+  /// Prefills that ended with an error are deferred without a limit.
   std::vector<Attempt> takeDue(Instant now, const IsBusy& isBusy);
 
   std::size_t size() const { return entries_.size(); }
@@ -62,21 +66,22 @@
  private:
   struct Entry {
     Attempt attempt;
-    Instant givenUpAt, dueAt;
-    Instant lastReleaseAt;       // before the first release: when the attempt was given up
-    bool yieldsToLaterAttempts;  // without a limit on the time
+    Instant abandonedAt, dueAt;
+    Instant lastReleaseAt;  // before the first release: equal to abandonedAt
+    bool waitsUntilIdle;    // the release is deferred without a time limit while the request is busy
   };
 
-  void add(Instant now, Instant dueAt, Attempt attempt, bool yieldsToLaterAttempts);
+  void add(Instant now, Instant dueAt, Attempt attempt, bool waitsUntilIdle);
   Instant deferralLimit(const Entry& entry, Instant now) const;
   bool isLastRelease(const Entry& entry, Instant now) const;
 
-  Duration repeatInterval_{0};      // between two releases
-  Duration maxDeferral_{0};         // ... where they are deferred
-  std::deque<Entry> entries_;       // the oldest first
-  std::optional<Instant> nextDue_;  // the earliest of theirs
-  // While there are entries: when the newest attempt that each engine has responded to was started.
-  std::map<EngineId, Instant> newestAnswered_;
+  Duration repeatInterval_{0};      // between two releases of an entry
+  Duration maxDeferral_{0};         // longest time between two releases that are deferred
+  std::deque<Entry> entries_;       // oldest first
+  std::optional<Instant> nextDue_;  // earliest dueAt of the entries
+  // For each engine: the latest start of an attempt that it has responded to. Empty while there are no
+  // entries.
+  std::map<EngineId, Instant> latestAnsweredStart_;
 };
 
 }  // namespace gannetcourse::router
--- a/src/router/policy_actions.h
+++ b/src/router/policy_actions.h
@@ -1,4 +1,5 @@
-// Carries out what the policy decides, unless it would break an invariant of the core or comes too late.
+// Executes the actions of the policy, unless an action would break an invariant of the core or its request is
+// already completed.
 #pragma once
 
 #include "gannetcourse/policy.h"
@@ -14,12 +15,12 @@
 
 namespace gannetcourse::router {
 
-/// One overload for each action. A later or invalid action has no effect; a blocked attempt is reported to
-/// the policy.
+/// A visitor with one overload for each action. An invalid action, or one for a completed request, has no
+/// effect; an attempt that is not started is reported to the policy as ended.
 class PolicyActions {
  public:
-  /// The parts that actions are carried out with; they outlive this.
-  struct Parts {
+  /// The components of the core that the actions use. They must outlive this object.
+  struct Components {
     CoreContext& context;
     RecordLog& log;
     const EngineRoles& roles;
@@ -30,7 +31,7 @@
     RequestCompletion& completion;
     StreamContinuation& continuation;
   };
-  explicit PolicyActions(const Parts& parts) : parts_(parts) {}
+  explicit PolicyActions(const Components& components) : components_(components) {}
 
   void operator()(const StartAttempt& action);
   void operator()(const Reserve& action);
@@ -47,10 +48,10 @@
  private:
   bool canStart(const Request& request) const;
   void block(const StartAttempt& action, const Request* request);
-  /// The request if it has no final response yet, else null.
+  /// The request with this policy id, or null if there is none or it is completed.
   Request* findOpen(const RequestId& id);
 
-  Parts parts_;
+  Components components_;
 };
 
 }  // namespace gannetcourse::router
--- a/src/router/policy_runner.h
+++ b/src/router/policy_runner.h
@@ -1,5 +1,5 @@
-// Feeds events to the policy and has its actions executed, one event after the other: what an action brings
-// about is fed once the actions of the event before are done.
+// Passes events to the policy and executes its actions, one event at a time. An event that is raised while an
+// action is executed is queued until all actions of the current event have been executed.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,15 @@
 
 namespace gannetcourse::router {
 
-/// Owns the policy.
+/// Owns the policy and its queue of events.
 class PolicyRunner {
  public:
-  /// `execute` may call feed().
+  /// `execute` carries out one action; it may call feed().
   PolicyRunner(CoreContext& context, std::function<void(const Action&)> execute)
       : context_(context), execute_(std::move(execute)), policy_(context.settings) {}
 
-  /// Returns once nothing is left to do, unless it is called while an action is executed: then the event
-  /// waits.
+  /// Processes the event and all events that it causes, then returns. If called while an action is executed,
+  /// it only queues the event.
   void feed(Event event);
 
  private:
--- a/src/router/record_log.h
+++ b/src/router/record_log.h
@@ -1,4 +1,4 @@
-// The records of a core: each is a command to the host, which writes it to its log.
+// Emits the log records of a core. Each record is a command to the host, which writes it to its log.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,13 @@
 
 namespace gannetcourse::router {
 
-/// Records of requests are left out where Options::recordsEnabled is false; those of violations and of the
-/// router itself never are.
+/// Owns no records. Records of requests are emitted only if Options::recordsEnabled is set; records of
+/// violations and of the router itself always are.
 class RecordLog {
  public:
   explicit RecordLog(CoreContext& context) : context_(context) {}
 
-  /// Whether records of requests are wanted; spares the making of their text.
+  /// Whether records of requests are emitted. Callers check it before they build a record's text.
   bool isEnabled() const { return context_.options.recordsEnabled; }
 
   /// A record of the request as a whole.
@@ -24,11 +24,11 @@
   /// A record of one attempt at an engine.
   void attempt(const Request& request, RecordKind kind, std::optional<EngineId> engine, int attempt,
                std::string reason = {});
-  /// A release of what an abandoned attempt may have left.
+  /// A record that a state was released that an abandoned attempt may have left.
   void orphanedState(const std::string& requestId, EngineId engine, int attempt);
-  /// A record that concerns no request.
+  /// A record of the router itself, without a request.
   void router(RecordKind kind, std::string reason = {});
-  /// Does nothing where there is no violation. `attempt`: -1 = none.
+  /// A record of the violation; does nothing if there is none. `attempt`: -1 = no attempt.
   void violation(const Request& request, std::optional<Violation> violation,
                  std::optional<EngineId> engine = {}, int attempt = -1);
 
--- a/src/router/record_text.cpp
+++ b/src/router/record_text.cpp
@@ -23,7 +23,7 @@
     "reconfigured",      "draining",
     "policy_note",
 };
-static_assert(kRecordNames.back() != nullptr, "each kind has its name");
+static_assert(kRecordNames.back() != nullptr, "kRecordNames must contain a name for each RecordKind");
 
 std::string describeExpectedDuration(const StartAttempt& attempt) {
   return "expected_duration " + formatNumber(attempt.expectedDuration.count(), 3);
--- a/src/router/record_text.h
+++ b/src/router/record_text.h
@@ -1,5 +1,5 @@
-// The text that records of the core carry as their reason: what a request asked for, what a decision
-// expected.
+// Formats the reason texts of the core's log records: the parameters of a request and the expectations of an
+// attempt.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace gannetcourse::router {
 
-/// `value` with so many digits after its point; values above 1e9 are cut to that.
+/// `value` with `digits` digits after the decimal point; values above 1e9 are replaced by 1e9.
 std::string formatNumber(double value, int digits);
 
 /// For kRequestAccepted: "CLASS prompt TOKENS prefix TOKENS ttft_objective SECONDS inter_token_objective
--- a/src/router/request.cpp
+++ b/src/router/request.cpp
@@ -11,7 +11,7 @@
   event.id = RequestId{request.policyId};
   event.classIndex = arrival.classIndex;
   event.tenant = arrival.tenant;
-  event.isRetry = arrival.isRetry && request.continuations == 0;  // a continuation is no retry of the client
+  event.isRetry = arrival.isRetry && request.continuations == 0;  // a continuation is not a client's retry
   event.timeUntilDeadline =
       hasFirstTokenTimeout ? std::min(timeUntilResponse, arrival.firstTokenTimeout) : timeUntilResponse;
   event.sessionKey = arrival.sessionKey;
--- a/src/router/request.h
+++ b/src/router/request.h
@@ -1,4 +1,4 @@
-// What the core knows of one request and of the call that is in flight for it.
+// The core's state of one request and of its call in flight.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,38 @@
 
 namespace gannetcourse::router {
 
-/// One request, from its arrival until it is finished.
+/// The state of one request, from its acceptance until it is finished.
 struct Request {
   RequestKey key = 0;
-  std::string name;      // the core's own, unique among routers
-  std::string id;        // its name for engines: `name`, unless the host or a resumed stream brought another
-  std::string policyId;  // its name for the policy, to which each continuation is a new request
+  std::string name;      // assigned by the core, unique among routers
+  std::string id;        // sent to engines: `name`, unless the host or a resumed stream specified another
+  std::string policyId;  // used with the policy, to which each continuation is a new request
   NewRequest arrival;
   std::shared_ptr<const RequestPayload> payload;  // of the current continuation
-  Instant deadline;                               // when its client gives up on the complete answer
+  Instant deadline;                               // when the client stops waiting for the complete answer
 
-  bool isCompleted = false;  // it has its final response, or its client has disconnected
-  bool isStreaming = false;  // the attempt in flight has brought its first token
+  bool isCompleted = false;  // the final response was sent, or the client has disconnected
+  bool isStreaming = false;  // the first token of the attempt in flight was received
   int attemptCount = 0;
-  int nextAttempt = 0;       // number of the next attempt, over all continuations, as engines know it
+  int nextAttempt = 0;       // number of the next attempt, over all continuations, as sent to engines
   int firstAttempt = 0;      // number of the first attempt under `policyId`
   CallKey callInFlight = 0;  // 0 = none
 
-  std::optional<EngineId> stateEngine;  // where a state waits for its decode call
+  std::optional<EngineId> stateEngine;  // prefill engine that holds the state until the decode takes it
   std::string stateHandle;
   int stateAttempt = 0;
   std::optional<EngineId> reservedEngine;
 
   std::uint32_t nextTokenIndex = 0;
-  std::string generatedText;  // the answer so far, while it is buffered
+  std::string generatedText;  // the answer so far; empty unless it is buffered
   bool isTextBuffered = true;
   int continuations = 0;
-  bool awaitsContinuation = false;  // its stream was lost
+  bool awaitsContinuation = false;  // the stream was lost and its continuation has not started
   EngineId lostStreamEngine;
 
   TimerQueue::Handle timeout;
 
-  /// Nothing of it is left to do.
+  /// Whether the request can be erased: it is completed and has no call in flight.
   bool isFinished() const { return isCompleted && callInFlight == 0; }
 };
 
@@ -57,16 +57,16 @@
   TimerQueue::Handle timeout;
 };
 
-/// The number of the next attempt, as the policy counts.
+/// The number of the next attempt as the policy counts them, starting at 0 for each continuation.
 inline int nextPolicyAttempt(const Request& request) { return request.nextAttempt - request.firstAttempt; }
 
-/// The number of this attempt, as the policy counts.
+/// The number of the call's attempt as the policy counts them, starting at 0 for each continuation.
 inline int policyAttempt(const Call& call) { return call.attempt - call.request->firstAttempt; }
 
 /// The event that submits the request, or its continuation, to the policy.
 RequestArrived requestArrivedEvent(const Request& request, Duration timeUntilResponse);
 
-/// The event that a call's attempt has ended; cached tokens and load are the caller's to add.
+/// The event that a call's attempt has ended. The caller adds the cached tokens and the load report.
 AttemptEnded attemptEndedEvent(const Call& call, Outcome outcome, Instant now);
 
 }  // namespace gannetcourse::router
--- a/src/router/request_completion.cpp
+++ b/src/router/request_completion.cpp
@@ -41,7 +41,7 @@
 void RequestCompletion::respond(Request& request, FinalStatus status, const std::string& reason,
                                 Duration retryAfter) {
   request.isCompleted = true;
-  // A request with tokens was answered in time by its first one.
+  // Once a token was sent, the first token counts as the response that has to be in time.
   if (request.nextTokenIndex == 0)
     log_.violation(request, context_.guard.onFinalResponse(context_.now, request.key, request.deadline));
   requests_.touch(request);
@@ -82,7 +82,7 @@
   if (request.isCompleted) return;
   if (request.isStreaming) return endStreamAtDeadline(request);
   if (!request.awaitsContinuation) ++context_.counters.actionsBlocked;
-  // A request without any attempt is rejected, not failed: to retry it is harmless.
+  // A request without any attempt is rejected: the client can safely retry it.
   const bool wasAttempted = request.attemptCount > 0;
   abort(request, wasAttempted ? FinalStatus::kDeadlineExceeded : FinalStatus::kRejected, Outcome::kTimeout,
         kDeadlineReason);
--- a/src/router/request_completion.h
+++ b/src/router/request_completion.h
@@ -1,4 +1,4 @@
-// The ends of requests: the one final response, the client's disconnect, and the deadline.
+// Completes requests: by their final response, at the client's disconnect or at the deadline.
 #pragma once
 
 #include <string>
@@ -12,22 +12,23 @@
 
 namespace gannetcourse::router {
 
-/// Completes requests; owns no state. A request is completed once.
+/// Owns no state. Each request must be completed only once.
 class RequestCompletion {
  public:
   RequestCompletion(CoreContext& context, RecordLog& log, RequestTable& requests, AttemptTracker& attempts,
                     PolicyRunner& policy)
       : context_(context), log_(log), requests_(requests), attempts_(attempts), policy_(policy) {}
 
-  /// Sends the final response. The call in flight, if any, is not cancelled. `reason` goes to the client.
+  /// Sends the final response, with `reason` for the client. Does not cancel a call in flight.
   void respond(Request& request, FinalStatus status, const std::string& reason,
                Duration retryAfter = Duration(0));
-  /// The same, and cancels its call and withdraws it from the policy.
+  /// Sends the final response, cancels the call in flight and withdraws the request from the policy.
   void abort(Request& request, FinalStatus status, Outcome outcome, const char* reason);
-  /// The client is not there any more: cancels the call and withdraws the request from the policy, without a
-  /// response.
+  /// The client has disconnected: cancels the call in flight and withdraws the request from the policy,
+  /// without a response.
   void onClientDisconnected(Request& request);
-  /// The core's own limit on a request. A policy that keeps deadlines leaves it only streams.
+  /// The core's own time-out of the request has fired. Requests that are not streaming normally end earlier,
+  /// at the policy's limit.
   void onTimeout(Request& request);
 
  private:
--- a/src/router/request_table.h
+++ b/src/router/request_table.h
@@ -1,4 +1,4 @@
-// The requests of a core, by their host's key, by their name for the policy and by their name for engines.
+// The requests of a core, indexed by the host's key, by policy id and by the id that engines know.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
 /// requests stay valid until erase().
 class RequestTable {
  public:
-  /// The new request is known to the policy by its name. It is not yet found by its name for engines.
+  /// Adds a request whose id and policy id are `name`. findById() does not find it before indexById() or
+  /// replaceById().
   Request& add(RequestKey key, const std::string& name);
 
   Request* find(RequestKey key);
@@ -24,24 +25,24 @@
   Request* findByPolicyId(const RequestId& id);
   Request* findById(const std::string& id);
 
-  /// Lets the request be found by Request::id; a request that was there under this name stays.
+  /// Makes findById() find the request by Request::id, unless another request is already indexed under it.
   void indexById(const Request& request) { keysById_.emplace(request.id, request.key); }
-  /// The same, instead of a request that was there under this name.
+  /// The same, but replaces another request that is indexed under this id.
   void replaceById(const Request& request) { keysById_[request.id] = request.key; }
 
-  /// The policy is to know the request by `policyId` from now on.
+  /// Sets the request's policy id and indexes the request under it.
   void setPolicyId(Request& request, std::string policyId);
-  /// The policy is done with the request under its present name.
+  /// Removes the request from the index of policy ids, once the policy has finished with its current id.
   void clearPolicyId(const Request& request) { keysByPolicyId_.erase(request.policyId); }
 
-  /// Marks a request that may have become ready to be erased.
+  /// Marks a request that may be finished and has to be checked at the end of the step.
   void touch(const Request& request) { touched_.push_back(request.key); }
-  /// The requests touched since the last call, some more than once, some perhaps erased since.
+  /// The requests marked since the last call. A key may occur more than once or belong to an erased request.
   std::vector<RequestKey> takeTouched() { return std::exchange(touched_, {}); }
   void erase(const Request& request);
 
   std::size_t size() const { return requests_.size(); }
-  std::size_t openCount() const;  ///< Requests without their final response.
+  std::size_t openCount() const;  ///< Number of requests that are not completed.
 
  private:
   std::unordered_map<RequestKey, Request> requests_;
--- a/src/router/settings_compatibility.cpp
+++ b/src/router/settings_compatibility.cpp
@@ -7,7 +7,7 @@
 namespace gannetcourse::router {
 namespace {
 
-bool hasSameEffects(const ClassSettings& a, const ClassSettings& b) {
+bool hasSameEffectGuarantees(const ClassSettings& a, const ClassSettings& b) {
   return a.idempotency == b.idempotency && a.dedupScope == b.dedupScope && a.dedupWindow == b.dedupWindow;
 }
 
@@ -15,7 +15,7 @@
   if (updated.classes.size() < current.classes.size()) return false;
   if (updated.tenants.size() < current.tenants.size()) return false;
   for (std::size_t i = 0; i < current.classes.size(); ++i) {
-    if (!hasSameEffects(current.classes[i], updated.classes[i])) return false;
+    if (!hasSameEffectGuarantees(current.classes[i], updated.classes[i])) return false;
   }
   return true;
 }
@@ -24,7 +24,9 @@
 
 void requireCompatible(const Settings& current, const Settings& updated) {
   if (!isCompatible(current, updated))
-    throw IncompatibleSettings("rule 2 (no effect twice): a class or tenant lost its place");
+    throw IncompatibleSettings(
+        "rule 2 (no effect twice): the new settings must keep all classes and tenants, and the idempotency "
+        "and deduplication of each class");
 }
 
 recovery::Limits recoveryLimits(const Settings& settings, recovery::Limits limits) {
--- a/src/router/settings_compatibility.h
+++ b/src/router/settings_compatibility.h
@@ -1,4 +1,4 @@
-// What a change of settings may not touch, and what of the settings concerns the recovery module.
+// Checks whether new settings can replace the current ones, and derives the recovery limits from settings.
 #pragma once
 
 #include "gannetcourse/policy.h"
@@ -6,12 +6,12 @@
 
 namespace gannetcourse::router {
 
-/// Open requests are finished under their class, so the index of a class or tenant may not get another
-/// meaning. Throws IncompatibleSettings where `updated` drops a class or tenant of `current`, or where a
-/// class has another idempotency or another deduplication.
+/// Throws IncompatibleSettings if `updated` has fewer classes or tenants than `current`, or if a class of
+/// `current` has another idempotency or deduplication there. Open requests refer to their class and tenant by
+/// index, so an index must keep its meaning.
 void requireCompatible(const Settings& current, const Settings& updated);
 
-/// `limits` with the classes and the number of attempts of `settings`.
+/// Returns `limits` with idempotency, priority weights and maxAttempts taken from `settings`.
 recovery::Limits recoveryLimits(const Settings& settings, recovery::Limits limits);
 
 }  // namespace gannetcourse::router
--- a/src/router/state_releaser.h
+++ b/src/router/state_releaser.h
@@ -1,5 +1,5 @@
-// Releases of what engines hold for requests: states that wait for a decode call, reserved capacity, and
-// states that attempts may have left after they were given up.
+// Sends releases of the states and the capacity that engines hold for requests: states that no decode call
+// has taken, reservations, and states that abandoned attempts may have left.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace gannetcourse::router {
 
-/// Owns the record of orphaned states; what a request holds at engines is in its Request.
+/// Owns the list of orphaned states. The state and the reservation of a request are stored in its Request.
 class StateReleaser {
  public:
   StateReleaser(CoreContext& context, RecordLog& log, RequestTable& requests)
@@ -22,16 +22,16 @@
 
   void updateLeaseLimit(Duration leaseLimit) { orphanedStates_.updateLeaseLimit(leaseLimit); }
 
-  /// Has the state released, which the request must have, and keeps it on record: a decode call may still use
-  /// it.
+  /// Sends a release of the request's state, which must exist, but keeps it in the Request: a decode call may
+  /// still use it.
   void sendStateRelease(const Request& request, std::string reason);
-  /// Has the state released, where there is one, and forgets it.
+  /// Sends a release of the request's state, if there is one, and removes it from the Request.
   void releaseState(Request& request);
-  /// The same for reserved capacity.
+  /// The same for the request's reservation.
   void releaseReservation(Request& request);
-  /// Sends the releases of orphaned states that are due, and schedules the next.
+  /// Sends the releases of orphaned states that are due, and schedules the timer for the next.
   void releaseOrphanedStates();
-  /// The timer of orphaned states has fired.
+  /// The timer has fired. The caller must call releaseOrphanedStates() afterwards.
   void onTimer() { timer_.reset(); }
 
   OrphanedStates& orphanedStates() { return orphanedStates_; }
--- a/src/router/stream_continuation.cpp
+++ b/src/router/stream_continuation.cpp
@@ -10,7 +10,7 @@
 namespace gannetcourse::router {
 namespace {
 
-constexpr std::size_t kInitialTextCapacity = 240;  // bytes of an answer
+constexpr std::size_t kInitialTextCapacity = 240;  // bytes reserved for the buffered text of a stream
 const Duration kMinCheckDelay{0.001};
 
 std::uint32_t outputTokensLeft(const Request& request, std::uint32_t tokensSent) {
@@ -18,7 +18,7 @@
   return limit > tokensSent ? limit - tokensSent : 0;
 }
 
-// The prompt of a continuation ends with the answer so far.
+// The original payload with the answer so far appended to its prompt.
 std::shared_ptr<const RequestPayload> continuationPayload(const Request& request) {
   auto payload = std::make_shared<RequestPayload>(*request.arrival.payload);
   payload->prompt += request.generatedText;
@@ -51,10 +51,10 @@
   return request == nullptr || request->isCompleted ? nullptr : request;
 }
 
-// ---- Streams that run ----
+// ---- Running streams ----
 
 void StreamContinuation::onStreamStarted(Request& request, Call& call) {
-  attempts_.stopTimeout(call);
+  attempts_.cancelTimeout(call);
   if (request.arrival.deadlineEndsAtFirstToken) context_.timers.cancel(request.timeout);
   if (recovery_.isResumable(request.arrival.classIndex)) {
     request.generatedText.reserve(kInitialTextCapacity);
@@ -96,7 +96,7 @@
 
 void StreamContinuation::onGoAway(EngineId engine) { recovery_.onGoAway(context_.now, engine); }
 
-// ---- Streams that are lost ----
+// ---- Lost streams ----
 
 recovery::LostStream StreamContinuation::lostStreamOf(const Request& request,
                                                       recovery::AttemptEnd attemptEnd) const {
@@ -112,7 +112,7 @@
   return stream;
 }
 
-// To the policy the request is over in any case: a continuation is a new one.
+// The policy is told that the request has finished in any case, since a continuation is a new request to it.
 void StreamContinuation::onStreamLost(Request& request, AttemptEnded ended, const std::string& reason,
                                       recovery::AttemptEnd attemptEnd) {
   ended.requestFinished = true;
@@ -137,7 +137,7 @@
   context_.emit(FenceAttempt{request.key, request.id, request.nextAttempt - 1, request.lostStreamEngine});
 }
 
-void StreamContinuation::takeFromEngine(Request& request, Outcome outcome, const char* reason) {
+void StreamContinuation::cancelAndContinue(Request& request, Outcome outcome, const char* reason) {
   const std::optional<AttemptEnded> ended = attempts_.cancel(request, outcome, reason);
   if (ended) onStreamLost(request, *ended, reason, recovery::AttemptEnd::kAbandoned);
 }
@@ -150,10 +150,11 @@
     continueStream(*request);
 }
 
-// To the recovery module that is a stream which was taken from an engine that may still be sending it.
+// The recovery module treats a resumed stream like one whose call was cancelled: its engine may still be
+// sending it.
 void StreamContinuation::resume(Request& request, ResumedStream stream) {
   ++context_.counters.resumed;
-  adoptFromEarlierCall(stream);
+  endEarlierCall(stream);
   request.id = stream.id;
   requests_.replaceById(request);
   request.nextAttempt = stream.attempt + 1;
@@ -164,13 +165,13 @@
   requests_.clearPolicyId(request);
 
   recovery::LostStream lost = lostStreamOf(request, recovery::AttemptEnd::kAbandoned);
-  recovery::Stream begun;
-  begun.classIndex = lost.classIndex;
-  begun.engine = stream.engine;
-  begun.promptTokens = lost.tokensToPrefill;
-  begun.deadline = context_.responseDeadline(request);
-  lost.timeUntilDeadline = begun.deadline - context_.now;
-  recovery_.onStreamStarted(context_.now, request.key, begun);
+  recovery::Stream started;
+  started.classIndex = lost.classIndex;
+  started.engine = stream.engine;
+  started.promptTokens = lost.tokensToPrefill;
+  started.deadline = context_.responseDeadline(request);
+  lost.timeUntilDeadline = started.deadline - context_.now;
+  recovery_.onStreamStarted(context_.now, request.key, started);
   recovery_.onToken(context_.now, request.key, request.generatedText.size());
   const recovery::Decision decision = recovery_.onStreamLost(context_.now, lost);
   if (decision.disposition == recovery::Disposition::kGiveUp)
@@ -181,9 +182,9 @@
   fenceLastAttempt(request);
 }
 
-// Where this router itself still has the answer under way, the client has left that call for the new one, and
-// may not know of the newest attempt.
-void StreamContinuation::adoptFromEarlierCall(ResumedStream& stream) {
+// Ends the earlier call if this router still processes it: the client has replaced it by the new call. The
+// newest attempt and its engine are copied to `stream`, because the client's resume token may be older.
+void StreamContinuation::endEarlierCall(ResumedStream& stream) {
   Request* const earlier = requests_.findById(stream.id);
   if (earlier == nullptr) return;
   stream.attempt = std::max(stream.attempt, earlier->nextAttempt - 1);
@@ -210,18 +211,18 @@
 void StreamContinuation::onTimer() {
   isCheckScheduled_ = false;
   migrateStreams();
-  serveWaitingStreams();
+  processDueStreams();
 }
 
 void StreamContinuation::migrateStreams() {
   for (const recovery::Recovery::Migration& migration : recovery_.streamsToMigrate(context_.now)) {
     Request* const request = findOpen(migration.stream);
     if (request != nullptr && request->isStreaming)
-      takeFromEngine(*request, Outcome::kTimeout, migration.reason);
+      cancelAndContinue(*request, Outcome::kTimeout, migration.reason);
   }
 }
 
-void StreamContinuation::serveWaitingStreams() {
+void StreamContinuation::processDueStreams() {
   const recovery::Recovery::DueStreams due = recovery_.takeDueStreams(context_.now);
   for (const RequestKey key : due.toFence) {
     const Request* const request = findOpen(key);
--- a/src/router/stream_continuation.h
+++ b/src/router/stream_continuation.h
@@ -1,6 +1,6 @@
-// Streams from their first token on: what is buffered of them, when they are taken from their engine, and how
-// a lost stream is continued at another engine. The recovery module decides whether and when; this carries it
-// out. A continuation is a new request to the policy, within the same request of the client.
+// Buffers the text of running streams, migrates streams and continues lost streams at another engine. The
+// recovery module decides whether and when a stream is migrated or continued; this class carries it out. To
+// the policy, a continuation is a new request; to the client, it is part of the same request.
 #pragma once
 
 #include <optional>
@@ -17,55 +17,59 @@
 
 namespace gannetcourse::router {
 
-/// Owns the recovery module; the state of a single stream is in its Request.
+/// Owns the recovery module. The state of each stream is stored in its Request.
 class StreamContinuation {
  public:
   StreamContinuation(CoreContext& context, RecordLog& log, RequestTable& requests, AttemptTracker& attempts,
                      RequestCompletion& completion, PolicyRunner& policy);
 
-  /// Classes and attempts of new settings; running and lost streams stay.
+  /// Replaces the classes and the maximum number of attempts; running and lost streams are kept.
   void updateSettings(const Settings& settings);
 
-  // ---- Streams that run ----
-  /// The call has brought the first token of its attempt.
+  // ---- Running streams ----
+  /// The first token of the call's attempt was received.
   void onStreamStarted(Request& request, Call& call);
-  /// A token of the stream goes to its client: its text is kept for a continuation, within bounds.
+  /// A token of the stream is being sent to the client. Buffers its text for a continuation, unless that
+  /// would exceed the limits of the buffer.
   void onToken(Request& request, const std::string& text);
-  /// While its client takes nothing, silence of the stream means nothing.
+  /// The client has stopped or resumed reading. While it is paused, its stream does not count as silent.
   void onClientPaused(RequestKey request, bool paused);
-  /// Absent `endsAt`: the engine stays after all, or is off the list.
+  /// The engine has announced that it shuts down at `endsAt`. Absent: it has withdrawn the notice, or was
+  /// removed from the engine list.
   void onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt);
-  /// The engine says that it ends, not when: its long streams are migrated.
+  /// The engine has announced its shutdown without a time; its long streams are migrated.
   void onGoAway(EngineId engine);
-  /// The prefill of a new request has started: continuations earn their share of such tokens.
+  /// The prefill of a new request has started, which adds a share of its tokens to the budget for
+  /// continuations.
   void onPrefillStarted(double promptTokens) { recovery_.onPrefillStarted(promptTokens); }
 
-  // ---- Streams that are lost ----
-  /// The stream's call has ended early. Continues the stream, at once or later, or gives the final response.
+  // ---- Lost streams ----
+  /// The stream's call has ended early. Continues the stream, now or later, or sends the final response.
   void onStreamLost(Request& request, AttemptEnded ended, const std::string& reason,
                     recovery::AttemptEnd attemptEnd);
-  /// Cancels the stream's call, though its engine may still be sending, and continues as onStreamLost() does.
-  void takeFromEngine(Request& request, Outcome outcome, const char* reason);
-  /// Begins a request whose answer broke off with another router, or with another call to this one.
+  /// Cancels the stream's call and then does the same as onStreamLost(). The engine may still be sending the
+  /// stream.
+  void cancelAndContinue(Request& request, Outcome outcome, const char* reason);
+  /// Resumes a stream that broke off at another router, or in an earlier call to this router.
   void resume(Request& request, ResumedStream stream);
-  /// The engine has confirmed the end of this attempt.
+  /// The engine has confirmed that this attempt has ended.
   void onAttemptFenced(RequestKey request, int attempt);
 
   // ---- Timer ----
-  /// Migrates, continues and gives up the streams that the recovery module names.
+  /// Asks the recovery module which streams are due, and migrates, fences, continues or gives up these.
   void onTimer();
   void scheduleCheck();
 
-  /// The request is over.
+  /// Drops the stream of a request that has ended.
   void forget(RequestKey request) { recovery_.forget(request); }
 
  private:
   recovery::LostStream lostStreamOf(const Request& request, recovery::AttemptEnd attemptEnd) const;
   void fenceLastAttempt(const Request& request);
-  void adoptFromEarlierCall(ResumedStream& stream);
+  void endEarlierCall(ResumedStream& stream);
   void continueStream(Request& request);
   void migrateStreams();
-  void serveWaitingStreams();
+  void processDueStreams();
   Request* findOpen(RequestKey key);
 
   CoreContext& context_;
--- a/src/router/timer_queue.h
+++ b/src/router/timer_queue.h
@@ -1,5 +1,5 @@
-// The timers of a core, in the order of their times; those of equal times in the order in which they were
-// scheduled.
+// The timers of a core, ordered by due time. Timers that are due at the same time fire in the order in which
+// they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +12,38 @@
 
 namespace gannetcourse::router {
 
-/// Who waits for the timer.
+/// The component that a timer belongs to.
 enum class TimerKind {
   kPolicy,          ///< Set by the policy.
-  kCallTimeout,     ///< `key` is the call.
-  kRequestTimeout,  ///< `key` is the request.
-  kStreamCheck,     ///< The recovery module looks at the streams.
+  kCallTimeout,     ///< Time-out of the call `key`.
+  kRequestTimeout,  ///< Time-out of the request `key`.
+  kStreamCheck,     ///< The recovery module checks the streams.
   kOrphanedStates,  ///< Releases of orphaned states are due.
 };
 
-/// What a timer is for.
+/// The purpose of a timer: its kind, and the call, request or policy timer that it belongs to.
 struct Timer {
   TimerKind kind = TimerKind::kPolicy;
   std::uint64_t key = 0;
-  std::string policyTimer;  ///< The policy's name of it.
+  std::string policyTimer;  ///< For kPolicy: the policy's id of the timer.
 };
 
-/// Owns its timers. A timer that was taken is no longer in it.
+/// Owns the scheduled timers, until they are taken or cancelled.
 class TimerQueue {
  public:
-  /// Valid from schedule() until the timer is taken or cancelled; then its holder has to reset it.
+  /// Valid from schedule() until the timer is taken or cancelled. The owner must reset it once its timer was
+  /// taken.
   using Handle = std::optional<std::multimap<Instant, Timer>::iterator>;
 
   Handle schedule(Instant at, Timer timer) { return timers_.emplace(at, std::move(timer)); }
 
-  /// Empties the handle too. Does nothing where it is empty.
+  /// Removes the timer and resets the handle. Does nothing if the handle is empty.
   void cancel(Handle& handle) {
     if (handle) timers_.erase(*handle);
     handle.reset();
   }
 
-  /// The first timer that is due, which is no longer scheduled then.
+  /// Removes and returns the earliest timer that is due; absent if none is.
   std::optional<Timer> takeDue(Instant now) {
     if (timers_.empty() || timers_.begin()->first > now) return std::nullopt;
     return std::move(timers_.extract(timers_.begin()).mapped());
--- a/src/router/violation.cpp
+++ b/src/router/violation.cpp
@@ -1,4 +1,4 @@
-// The names of violations in the router's account line and log, and the text of their counts.
+// The names of violations in the router's statistics line and log, and the text of their counts.
 #include <cstddef>
 
 #include "gannetcourse/router.h"
--- a/tests/core_fixture.h
+++ b/tests/core_fixture.h
@@ -1,4 +1,4 @@
-// A router::Core among three engines in virtual time, for the tests of its parts.
+// A test fixture with a router::Core and three engines in virtual time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 inline Instant at(double seconds) { return Instant(Duration(seconds)); }
 
-/// The commands of one kind, in their order.
+/// The commands of type `SomeCommand`, in their original order.
 template <class SomeCommand>
 std::vector<SomeCommand> commandsOf(const std::vector<Command>& commands) {
   std::vector<SomeCommand> found;
@@ -25,7 +25,7 @@
   return found;
 }
 
-/// Engine 1 prefills, engines 2 and 3 decode.
+/// Owns a core that lists engine 1 for prefill and engines 2 and 3 for decode. Times are in seconds.
 class CoreFixture : public ::testing::Test {
  protected:
   CoreFixture() : core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}}) {
@@ -38,7 +38,7 @@
 
   const std::vector<Command>& takeCommands() { return lastCommands = core.takeCommands(); }
 
-  /// Lets time pass from timer to timer; all commands on the way.
+  /// Advances the core to each due timer and then to `end`; returns all commands that it issued.
   std::vector<Command> advanceTo(double end) {
     std::vector<Command> commands;
     const auto collect = [&] {
@@ -53,7 +53,7 @@
     return commands;
   }
 
-  /// A request of 1000 prompt tokens; times in seconds.
+  /// Sends a request of 1000 prompt tokens and at most 100 output tokens.
   void sendRequest(double when, RequestKey key, double timeUntilDeadline = 10, double firstTokenTimeout = 4) {
     NewRequest arrival;
     arrival.key = key;
@@ -66,7 +66,7 @@
     core.onRequest(at(when), std::move(arrival));
   }
 
-  /// Brings a request to a stream whose first token has come; returns its decode call.
+  /// Sends a request, completes its prefill and receives the first token; returns the decode call.
   CallKey startStream(double when, RequestKey key, double timeUntilDeadline = 10) {
     sendRequest(when, key, timeUntilDeadline);
     const auto prefills = commandsOf<StartPrefill>(takeCommands());
@@ -81,7 +81,7 @@
   }
 
   Core core;
-  std::vector<Command> lastCommands;  ///< Of the last takeCommands().
+  std::vector<Command> lastCommands;  ///< Result of the last takeCommands().
 };
 
 }  // namespace gannetcourse::router
--- a/tests/digest.h
+++ b/tests/digest.h
@@ -1,4 +1,4 @@
-// A digest of lines of text, for tests that compare long recorded streams.
+// A digest of lines of text, for tests that compare long recorded outputs.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace gannetcourse::test {
 
-/// FNV-1a of all lines, with their number.
+/// Computes the 64-bit FNV-1a hash of all lines, each followed by a line feed, and counts the lines.
 class Digest {
  public:
   /// Adds a line.
@@ -15,7 +15,7 @@
     for (const char c : line + "\n") hash_ = (hash_ ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
     ++lines_;
   }
-  /// The digest in hexadecimal, and the number of lines.
+  /// The hash in 16 hexadecimal digits, a space, and the number of lines.
   std::string text() const {
     char out[64];
     std::snprintf(out, sizeof out, "%016llx %zu", static_cast<unsigned long long>(hash_), lines_);
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -1,4 +1,4 @@
-// Sealed resume tokens open under their key and under no other.
+// resume::Sealer: sealed texts can be opened with the key that sealed them and with no other; key files.
 #include "resume/seal.h"
 
 #include <gtest/gtest.h>
@@ -11,24 +11,26 @@
 const std::string kOldKey = "old " + std::string(64, '1') + "\n",
                   kNewKey = "new " + std::string(64, '2') + "\n";
 
-TEST(SealTest, OpensWhatItSealed) {
+TEST(SealTest, OpensItsOwnSealedTexts) {
   const Sealer sealer = Sealer::parse(kOldKey, "keys");
   for (const std::string& text : {std::string(), std::string("request"), std::string(5000, 'x')}) {
     const std::string sealed = sealer.seal(text);
     EXPECT_EQ(sealer.open(sealed), text);
-    EXPECT_NE(sealer.seal(text), sealed) << "alike texts are sealed unlike";
+    EXPECT_NE(sealer.seal(text), sealed) << "equal texts must be sealed differently";
   }
 }
 
-TEST(SealTest, AKeyChangesInService) {
+// Nodes of a deployment reload a rotated key file at different times: tokens of the old key must stay valid
+// until it is removed.
+TEST(SealTest, OpensOldTokensUntilTheOldKeyIsRemoved) {
   const Sealer before = Sealer::parse(kOldKey, "keys"), during = Sealer::parse(kNewKey + kOldKey, "keys"),
                after = Sealer::parse(kNewKey, "keys");
   EXPECT_EQ(during.open(before.seal("a")), "a");
-  EXPECT_EQ(after.open(during.seal("a")), "a") << "the first key seals";
+  EXPECT_EQ(after.open(during.seal("a")), "a") << "the first key must be used to seal";
   EXPECT_EQ(after.open(before.seal("a")), std::nullopt);
 }
 
-TEST(SealTest, EveryChangedByteIsDetected) {
+TEST(SealTest, RejectsSealedTextWhenAByteIsChangedRemovedOrAdded) {
   const Sealer sealer = Sealer::parse(kOldKey, "keys");
   const std::string sealed = sealer.seal("request 7");
   for (std::size_t i = 0; i < sealed.size(); ++i) {
@@ -40,12 +42,12 @@
   EXPECT_EQ(sealer.open(sealed + "x"), std::nullopt);
 }
 
-TEST(SealTest, AnInvalidFileIsReportedByLine) {
+TEST(SealTest, ReportsFileAndLineOfInvalidKeys) {
   const std::pair<std::string, std::string> cases[] = {
-      {"# nothing\n", "keys:1: the file holds no key"},
-      {kOldKey + "short 12ab\n", "keys:2: key 'short' is not 64 hexadecimal digits"},
-      {kOldKey + "old " + std::string(64, '3'), "keys:2: key 'old' is there twice"},
-      {"a/b " + std::string(64, '3'), "keys:1: a key's name"}};
+      {"# nothing\n", "keys:1: the file contains no key"},
+      {kOldKey + "short 12ab\n", "keys:2: the value of key 'short' must be 64 hexadecimal digits"},
+      {kOldKey + "old " + std::string(64, '3'), "keys:2: key 'old' is defined more than once"},
+      {"a/b " + std::string(64, '3'), "keys:1: the key's name"}};
   for (const auto& [text, reason] : cases) {
     try {
       Sealer::parse(text, "keys");
