--- a/tests/core_continuation_test.cpp
+++ b/tests/core_continuation_test.cpp
@@ -1,4 +1,4 @@
-// router::Core in virtual time: streams that lose their engine, and how they are continued.
+// router::Core in virtual time: the continuation, migration and resumption of streams.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -14,7 +14,9 @@
 
 class CoreContinuationTest : public CoreFixture {};
 
-TEST_F(CoreContinuationTest, ABrokenStreamContinuesAtAnotherDecodeEngine) {
+// The continuation must prefill the tokens that were already sent, continue at the next token index and
+// ignore tokens of the lost call.
+TEST_F(CoreContinuationTest, ContinuesBrokenStreamAtAnotherDecodeEngine) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 1, "b");
   takeCommands();
@@ -22,8 +24,8 @@
   const auto prefills = commandsOf<StartPrefill>(takeCommands());
   ASSERT_EQ(prefills.size(), 1u);
   EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty());
-  EXPECT_EQ(prefills.front().attempt, 2) << "engines know the newest attempt by its number";
-  EXPECT_EQ(prefills.front().payload->promptTokens, 1002u) << "the prompt and what was sent";
+  EXPECT_EQ(prefills.front().attempt, 2) << "attempt numbers continue after a continuation";
+  EXPECT_EQ(prefills.front().payload->promptTokens, 1002u) << "1000 prompt tokens and 2 tokens already sent";
   EXPECT_EQ(prefills.front().payload->prompt, "ab");
   core.onPrefillEnded(at(1.5), prefills.front().call, "again", 900, {});
   const auto decodes = commandsOf<StartDecode>(takeCommands());
@@ -43,7 +45,7 @@
   EXPECT_EQ(core.counters().continued, 1u);
 }
 
-// A request for the rest of a stream whose client has three tokens of attempt 1.
+// A request that resumes a stream after the first three tokens, which attempt 1 sent.
 NewRequest resumedRequest(RequestKey key, const std::string& id) {
   NewRequest request;
   request.key = key;
@@ -57,7 +59,9 @@
   return request;
 }
 
-TEST_F(CoreContinuationTest, AStreamOfAnotherRouterIsResumedOnceItsAttemptIsFenced) {
+// The engine may still run the attempt that another router started: two attempts would run at the same time
+// if the resumed stream did not wait for the fence.
+TEST_F(CoreContinuationTest, ResumesStreamOfAnotherRouterOnceItsAttemptIsFenced) {
   core.onRequest(at(1), resumedRequest(7, "m-4"));
   const auto fences = commandsOf<FenceAttempt>(takeCommands());
   ASSERT_EQ(fences.size(), 1u);
@@ -75,7 +79,7 @@
   EXPECT_EQ(decode.payload->firstTokenIndex, 3u);
   core.onToken(at(1.3), decode.call, 3, "d");
   EXPECT_EQ(commandsOf<SendToken>(takeCommands()).front().index, 3u);
-  // Its client resumes once more: the call that it left gets its response, and nothing runs twice.
+  // The client resumes the stream again: the core must end the earlier call before it starts another attempt.
   core.onRequest(at(1), resumedRequest(8, "m-4"));
   takeCommands();
   EXPECT_EQ(commandsOf<CancelCall>(lastCommands).size(), 1u);
@@ -83,13 +87,13 @@
   EXPECT_EQ(commandsOf<FinalResponse>(lastCommands).front().request, 7u);
   ASSERT_EQ(commandsOf<FenceAttempt>(lastCommands).size(), 1u);
   EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).front().attempt, 3)
-      << "the newest, not the one that it knew";
+      << "the newest attempt must be fenced, not the one in the client's resume data";
   EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).front().engine, decode.engine);
   core.onClientDisconnected(at(1.5), 8);
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, AContinuationThatFindsNoEngineFailsInTime) {
+TEST_F(CoreContinuationTest, FailsContinuationInTimeWhenNoEngineIsListed) {
   const CallKey call = startStream(1, 7, 6);
   core.onEngineListUpdate(at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {}});
   takeCommands();
@@ -97,11 +101,12 @@
   auto responses = commandsOf<FinalResponse>(takeCommands());
   for (const FinalResponse& later : commandsOf<FinalResponse>(advanceTo(8))) responses.push_back(later);
   ASSERT_EQ(responses.size(), 1u);
-  EXPECT_EQ(responses.front().status, FinalStatus::kFailed) << "part of it was sent: no rejection";
+  EXPECT_EQ(responses.front().status, FinalStatus::kFailed)
+      << "a request whose answer was partly sent must not be rejected";
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, AClientDisconnectsDuringAContinuation) {
+TEST_F(CoreContinuationTest, CancelsContinuationWhenClientDisconnects) {
   const CallKey call = startStream(1, 7);
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
   ASSERT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
@@ -110,22 +115,25 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, ThePolicyIsNotifiedOfADisconnectWhileAContinuationWaits) {
+// A continuation that the policy has queued must be withdrawn when the client disconnects. Otherwise the
+// policy would start it when a prefill engine is listed again.
+TEST_F(CoreContinuationTest, WithdrawsQueuedContinuationWhenClientDisconnects) {
   const CallKey call = startStream(1, 7);
   core.onEngineListUpdate(
       at(1.3), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {test::engineEntry(2, Role::kDecode)}});
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "connection lost");
   EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
-      << "there is no prefill engine: it waits with the policy";
+      << "no prefill engine is listed, so the policy must queue the continuation";
   core.onClientDisconnected(at(1.45), 7);
   core.onEngineListUpdate(
       at(1.5), EngineListUpdate{EngineListUpdate::Scope::kSnapshot,
                                 {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
   advanceTo(8);
-  EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy sends nothing for a request that is over";
+  EXPECT_EQ(core.counters().actionsBlocked, 0u)
+      << "the policy must not start an attempt for a withdrawn request";
 }
 
-TEST_F(CoreContinuationTest, ABrokenStreamFailsItsRequestOnce) {
+TEST_F(CoreContinuationTest, SendsOneFailureWhenStreamBreaksAndRecoveryIsDisabled) {
   recovery::Limits disabled;
   disabled.enabled = false;
   core = Core(test::twoStageSettings(), Options{"n", Duration(0.05), true, disabled});
@@ -142,19 +150,22 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, ADuplicateTokenIsDroppedAndAMissingOneEndsTheAttempt) {
+// The client must receive each token exactly once, also from an engine that repeats or skips tokens.
+TEST_F(CoreContinuationTest, DropsDuplicateTokenAndCancelsAttemptWhenTokenIsMissing) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 0, "again");
-  EXPECT_TRUE(commandsOf<SendToken>(takeCommands()).size() == 1u) << "the first only";
+  EXPECT_TRUE(commandsOf<SendToken>(takeCommands()).size() == 1u) << "only the first token 0 must be sent";
   EXPECT_EQ(core.counters().droppedTokens, 1u);
   core.onToken(at(1.3), call, 2, "gap");
   EXPECT_EQ(commandsOf<CancelCall>(takeCommands()).size(), 1u);
   EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty());
-  EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).size(), 1u) << "the engine may still be sending it";
+  EXPECT_EQ(commandsOf<FenceAttempt>(lastCommands).size(), 1u)
+      << "the engine may still be sending the stream";
   EXPECT_TRUE(commandsOf<StartPrefill>(lastCommands).empty());
 }
 
-TEST_F(CoreContinuationTest, ACancelledStreamContinuesOnceItsAttemptIsFenced) {
+// The continuation must start once, and only after the fence of the newest attempt.
+TEST_F(CoreContinuationTest, ContinuesCancelledStreamOnceItsAttemptIsFenced) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 2, "gap");
   const auto fences = commandsOf<FenceAttempt>(takeCommands());
@@ -162,19 +173,22 @@
   EXPECT_EQ(fences.front().attempt, 1);
   core.onAttemptFenced(at(1.35), 7, 0);
   EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
-      << "the end of an older attempt does not count";
+      << "the fence of an older attempt must not start the continuation";
   core.onAttemptFenced(at(1.4), 7, 1);
   EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
   core.onAttemptFenced(at(1.45), 7, 1);
-  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty()) << "confirmed twice, continued once";
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty())
+      << "a repeated confirmation must not start another continuation";
 }
 
-TEST_F(CoreContinuationTest, ASilentEngineIsWaitedForUntilItsLeaseExpires) {
+// An engine that does not answer the fence ends its streams only when its lease expires; until then it may
+// still run the attempt.
+TEST_F(CoreContinuationTest, WaitsForLeaseExpiryWhenEngineDoesNotAnswerTheFence) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 2, "gap");
   takeCommands();
   auto commands = advanceTo(3.2);
-  EXPECT_GE(commandsOf<FenceAttempt>(commands).size(), 3u) << "asked repeatedly";
+  EXPECT_GE(commandsOf<FenceAttempt>(commands).size(), 3u) << "the fence must be repeated";
   EXPECT_TRUE(commandsOf<StartPrefill>(commands).empty());
   commands = advanceTo(3.5);
   EXPECT_EQ(commandsOf<StartPrefill>(commands).size(), 1u);
@@ -183,7 +197,7 @@
   EXPECT_EQ(core.counters().droppedTokens, 1u);
 }
 
-TEST_F(CoreContinuationTest, AClientDisconnectsWhileTheFenceIsPending) {
+TEST_F(CoreContinuationTest, StartsNoContinuationWhenClientDisconnectsWhileFenceIsPending) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 2, "gap");
   takeCommands();
@@ -193,7 +207,7 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, TheDeadlinePassesWhileTheFenceIsPending) {
+TEST_F(CoreContinuationTest, FailsRequestWhenDeadlinePassesWhileFenceIsPending) {
   const CallKey call = startStream(1, 7, 2);
   core.onToken(at(2.2), call, 2, "gap");
   takeCommands();
@@ -203,7 +217,9 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, AnEngineLostAfterTheLastTokenStillCompletesTheStream) {
+// If the engine is lost between the last token and the end of the call, the continuation has no token left to
+// produce. The request must still be served.
+TEST_F(CoreContinuationTest, ServesRequestWhenEngineIsLostAfterTheLastToken) {
   const CallKey call = startStream(1, 7);
   core.onCallEnded(at(1.4), call, Outcome::kReset, 0, {}, "after the last token");
   const auto prefill = commandsOf<StartPrefill>(takeCommands()).front();
@@ -218,7 +234,9 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, PrefillAndDecodeEngineAreLostDuringAContinuation) {
+// During a continuation its prefill engine is removed and its decode engine reports the state as lost: the
+// continuation must be prefilled again at another engine.
+TEST_F(CoreContinuationTest, RepeatsPrefillWhenContinuationLosesItsState) {
   EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
                         {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill)}};
   for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
@@ -240,7 +258,8 @@
   const auto third = commandsOf<StartPrefill>(takeCommands());
   ASSERT_EQ(third.size(), 1u);
   EXPECT_NE(third.front().engine, again.engine);
-  EXPECT_EQ(third.front().payload->prompt, "a") << "the tokens already sent are prefilled with the prompt";
+  EXPECT_EQ(third.front().payload->prompt, "a")
+      << "the tokens already sent must be prefilled with the prompt";
   core.onPrefillEnded(at(1.6), third.front().call, "state", 0, {});
   const auto last = commandsOf<StartDecode>(takeCommands()).front();
   core.onToken(at(1.7), last.call, 1, "b");
@@ -250,7 +269,9 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreContinuationTest, AContinuationsPrefillFailsAndTheOldEngineStillSends) {
+// A fenced engine may still deliver a token that was in flight. The token must be dropped, and the failed
+// prefill of the continuation retried at another engine.
+TEST_F(CoreContinuationTest, RetriesContinuationAndDropsTokensOfTheFencedAttempt) {
   EngineListUpdate more{EngineListUpdate::Scope::kSnapshot,
                         {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill)}};
   for (std::uint32_t id = 2; id <= 4; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
@@ -272,7 +293,7 @@
   EXPECT_EQ(core.counters().droppedTokens, 1u);
 }
 
-TEST_F(CoreContinuationTest, AllDecodeEnginesOfACellAreRemoved) {
+TEST_F(CoreContinuationTest, ContinuesInAnotherCellWhenAllDecodeEnginesOfACellAreRemoved) {
   EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
                          {test::engineEntry(1, Role::kPrefill, 1), test::engineEntry(2, Role::kDecode, 1),
                           test::engineEntry(3, Role::kDecode, 1), test::engineEntry(9, Role::kDecode, 2)}};
@@ -280,7 +301,7 @@
   sendRequest(1, 7);
   core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
   const auto first = commandsOf<StartDecode>(takeCommands()).front();
-  ASSERT_NE(first.engine, EngineId{9}) << "engines of the same cell come first";
+  ASSERT_NE(first.engine, EngineId{9}) << "engines of the same cell must be preferred";
   core.onToken(at(1.2), first.call, 0, "a");
   EngineListUpdate removal{EngineListUpdate::Scope::kDelta, {fleet.entries[1], fleet.entries[2]}};
   for (EngineEntry& entry : removal.entries) entry.state = EngineEntry::State::kRemoved;
@@ -292,7 +313,8 @@
   EXPECT_EQ(decodes.front().engine, EngineId{9});
 }
 
-TEST_F(CoreContinuationTest, ContinuationsDoNotOverloadAnEngineInSlowStart) {
+// The loss of an engine moves many streams at once. An engine in slow start must not receive most of them.
+TEST_F(CoreContinuationTest, LimitsContinuationsAtAnEngineInSlowStart) {
   EngineListUpdate fleet{EngineListUpdate::Scope::kSnapshot,
                          {test::engineEntry(1, Role::kPrefill), test::engineEntry(8, Role::kPrefill),
                           test::engineEntry(2, Role::kDecode), test::engineEntry(4, Role::kDecode)}};
@@ -325,11 +347,11 @@
     }
   }
   EXPECT_GT(lost, 10);
-  EXPECT_GT(toWarm, 5) << "continuations proceed all the same";
-  EXPECT_LE(toSlowStart, toWarm / 4) << "an engine in slow start gets its share, as of new requests";
+  EXPECT_GT(toWarm, 5) << "continuations must proceed at the other engine";
+  EXPECT_LE(toSlowStart, toWarm / 4) << "slow start must limit continuations as it limits new requests";
 }
 
-TEST_F(CoreContinuationTest, AStreamIsMigratedBeforeItsEngineShutsDown) {
+TEST_F(CoreContinuationTest, MigratesStreamBeforeItsEngineShutsDown) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.25), call, 1, "b");
   takeCommands();
@@ -341,7 +363,9 @@
   EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u);
 }
 
-TEST_F(CoreContinuationTest, TheThirdDecodeEngineIsLostToo) {
+// The settings allow six attempts. After two continuations, which take two attempts each, none is left for a
+// third.
+TEST_F(CoreContinuationTest, FailsRequestWhenAThirdContinuationWouldExceedMaxAttempts) {
   EngineListUpdate more{EngineListUpdate::Scope::kSnapshot, {test::engineEntry(1, Role::kPrefill)}};
   for (std::uint32_t id = 2; id <= 6; ++id) more.entries.push_back(test::engineEntry(id, Role::kDecode));
   core.onEngineListUpdate(at(0.5), more);
@@ -362,7 +386,7 @@
   }
   core.onCallEnded(at(5), call, Outcome::kReset, 0, {}, "connection lost");
   const auto responses = commandsOf<FinalResponse>(takeCommands());
-  ASSERT_EQ(responses.size(), 1u) << "six attempts are all that the settings grant";
+  ASSERT_EQ(responses.size(), 1u) << "the settings allow six attempts";
   EXPECT_NE(responses.front().reason.find("no attempts left"), std::string::npos);
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
--- a/tests/core_parts_test.cpp
+++ b/tests/core_parts_test.cpp
@@ -1,5 +1,4 @@
-// The parts of a router::Core that own state of their own: timers, the table of requests, the names of
-// records.
+// Components of router::Core: the timer queue, the request table and the texts of records.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -14,7 +13,7 @@
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
-TEST(TimerQueueTest, GivesTimersInTheOrderOfTheirTimesAndOfTheirScheduling) {
+TEST(TimerQueueTest, ReturnsTimersByDueTimeThenBySchedulingOrder) {
   TimerQueue timers;
   timers.schedule(at(2), Timer{TimerKind::kPolicy, 1, {}});
   timers.schedule(at(1), Timer{TimerKind::kPolicy, 2, {}});
@@ -28,7 +27,7 @@
   EXPECT_FALSE(timers.nextDue());
 }
 
-TEST(TimerQueueTest, ACancelledTimerDoesNotFire) {
+TEST(TimerQueueTest, DoesNotReturnACancelledTimer) {
   TimerQueue timers;
   TimerQueue::Handle timer = timers.schedule(at(1), Timer{});
   timers.cancel(timer);
@@ -37,12 +36,12 @@
   EXPECT_FALSE(timers.takeDue(at(2)));
 }
 
-TEST(RequestTableTest, FindsARequestByEachOfItsNames) {
+TEST(RequestTableTest, FindsRequestByKeyPolicyIdAndId) {
   RequestTable requests;
   Request& request = requests.add(7, "n-1");
   EXPECT_EQ(requests.find(7), &request);
   EXPECT_EQ(requests.findByPolicyId(RequestId{"n-1"}), &request);
-  EXPECT_EQ(requests.findById("n-1"), nullptr) << "not before it is indexed";
+  EXPECT_EQ(requests.findById("n-1"), nullptr) << "must not be found before it is indexed";
   requests.indexById(request);
   EXPECT_EQ(requests.findById("n-1"), &request);
   requests.clearPolicyId(request);
@@ -55,20 +54,22 @@
   EXPECT_EQ(requests.findByPolicyId(RequestId{"n-1+1"}), nullptr);
 }
 
-TEST(RequestTableTest, AResumedRequestKeepsItsNameWhenTheEarlierOneIsErased) {
+// A resumed request takes over the id of the earlier request. Erasing the earlier one must not remove the id
+// of the resumed one.
+TEST(RequestTableTest, KeepsIdOfResumedRequestWhenEarlierOneIsErased) {
   RequestTable requests;
   Request& earlier = requests.add(1, "n-1");
   requests.indexById(earlier);
   Request& resumed = requests.add(2, "n-2");
   resumed.id = "n-1";
   requests.indexById(resumed);
-  EXPECT_EQ(requests.findById("n-1"), &earlier) << "the first one keeps its name";
+  EXPECT_EQ(requests.findById("n-1"), &earlier) << "indexById() must not replace an indexed request";
   requests.replaceById(resumed);
   requests.erase(earlier);
   EXPECT_EQ(requests.findById("n-1"), &resumed);
 }
 
-TEST(RequestTableTest, CountsRequestsWithoutTheirFinalResponse) {
+TEST(RequestTableTest, CountsOnlyRequestsWithoutFinalResponseAsOpen) {
   RequestTable requests;
   requests.add(1, "n-1").isCompleted = true;
   requests.add(2, "n-2");
@@ -76,7 +77,7 @@
   EXPECT_EQ(requests.openCount(), 1U);
 }
 
-TEST(RecordTextTest, EachKindHasANameOfItsOwn) {
+TEST(RecordTextTest, HasAUniqueNameForEachKind) {
   std::set<std::string> names;
   for (std::size_t kind = 0; kind < static_cast<std::size_t>(RecordKind::kCount); ++kind)
     names.insert(nameOf(static_cast<RecordKind>(kind)));
@@ -84,7 +85,7 @@
   EXPECT_EQ(names.count(""), 0U);
 }
 
-TEST(RecordTextTest, DescribesARequestByItsClassAndTokens) {
+TEST(RecordTextTest, DescribesRequestByClassTokensAndObjectives) {
   ClassSettings classSettings;
   classSettings.ttftObjective = Duration(0.5);
   classSettings.ttftObjectivePerToken = Duration(0.001);
--- a/tests/core_requests_test.cpp
+++ b/tests/core_requests_test.cpp
@@ -1,4 +1,4 @@
-// router::Core in virtual time: the life cycle of requests and the invariants that need no decision.
+// router::Core in virtual time: the life cycle of requests, reconfiguration and draining.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,9 @@
 
 class CoreRequestsTest : public CoreFixture {};
 
-TEST_F(CoreRequestsTest, ReconfigureKeepsOpenRequestsAndTheirClass) {
+// New settings may change classes while requests are open. An open request must keep the class that it was
+// accepted with.
+TEST_F(CoreRequestsTest, KeepsOpenRequestsAndTheirClassWhenReconfigured) {
   sendRequest(1, 7);
   const auto prefills = commandsOf<StartPrefill>(takeCommands());
   ASSERT_EQ(prefills.size(), 1u);
@@ -33,10 +35,11 @@
   core.onToken(at(1.2), decodes[0].call, 0, "a");
   core.onCallEnded(at(1.3), decodes[0].call, Outcome::kReset, 0, {}, "", recovery::AttemptEnd::kConfirmed);
   EXPECT_EQ(commandsOf<StartPrefill>(takeCommands()).size(), 1u)
-      << "its class is idempotent, so it is continued";
+      << "the request's class is idempotent, so its stream must be continued";
 }
 
-TEST_F(CoreRequestsTest, ReconfigureRejectsAClassWithAnotherMeaning) {
+// Open requests refer to their class by index, so new settings must not change or drop a class.
+TEST_F(CoreRequestsTest, RejectsSettingsThatChangeOrDropAClass) {
   Settings other = test::twoStageSettings();
   other.classes[0].idempotency = Idempotency::kAtMostOnce;
   EXPECT_THROW(core.reconfigure(at(1), other), IncompatibleSettings);
@@ -47,7 +50,7 @@
   EXPECT_EQ(core.counters().served, 1u);
 }
 
-TEST_F(CoreRequestsTest, ServesARequestByPrefillAndDecode) {
+TEST_F(CoreRequestsTest, ServesRequestByPrefillAndDecode) {
   const CallKey call = startStream(1, 7);
   core.onToken(at(1.3), call, 1, "b");
   core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
@@ -62,7 +65,8 @@
   EXPECT_EQ(core.counters().served, 1u);
 }
 
-TEST_F(CoreRequestsTest, NothingOfAnEndedCallReachesTheClient) {
+// Tokens and the end of a call may arrive after the core has closed it.
+TEST_F(CoreRequestsTest, IgnoresEventsOfACallThatHasEnded) {
   const CallKey call = startStream(1, 7);
   core.onCallEnded(at(1.4), call, Outcome::kOk, 0, {}, "");
   takeCommands();
@@ -72,7 +76,8 @@
   EXPECT_EQ(core.counters().failed, 0u);
 }
 
-TEST_F(CoreRequestsTest, ARunningStreamEndsBeforeTheDeadline) {
+// A stream that does not end by itself must not run past the client's deadline.
+TEST_F(CoreRequestsTest, EndsRunningStreamBeforeTheDeadline) {
   startStream(1, 7, 3);
   takeCommands();
   const auto commands = advanceTo(10);
@@ -87,7 +92,8 @@
   EXPECT_LT(deadline->at, at(4));
 }
 
-TEST_F(CoreRequestsTest, ASilentEngineIsAbandonedAndTheResponseComesInTime) {
+// An engine that never responds must not delay the final response beyond the deadline.
+TEST_F(CoreRequestsTest, AbandonsSilentEngineAndRespondsInTime) {
   sendRequest(1, 7, 10, 4);
   takeCommands();
   const auto commands = advanceTo(12);
@@ -96,14 +102,15 @@
   EXPECT_NE(responses.front().status, FinalStatus::kServed);
   EXPECT_GE(commandsOf<CancelCall>(commands).size(), 1u);
   EXPECT_EQ(core.pendingObligations(), 0u);
-  EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy responds before the core has to";
+  EXPECT_EQ(core.counters().actionsBlocked, 0u) << "the policy must respond before the core's own time-out";
 }
 
-TEST_F(CoreRequestsTest, NeverTwoCallsOfARequestAreInFlight) {
-  // Each call fails in another way, at once or late.
+// A retry must not start before the failed attempt has ended: the calls fail with each outcome in turn, some
+// immediately and some later.
+TEST_F(CoreRequestsTest, KeepsAtMostOneCallInFlightForEachRequest) {
   std::map<CallKey, std::string> callsInFlight;
-  const Outcome kinds[] = {Outcome::kError, Outcome::kReset, Outcome::kConnectFailed, Outcome::kRejected,
-                           Outcome::kStateLost};
+  const Outcome outcomes[] = {Outcome::kError, Outcome::kReset, Outcome::kConnectFailed, Outcome::kRejected,
+                              Outcome::kStateLost};
   std::size_t next = 0;
   for (RequestKey key = 1; key <= 40; ++key) sendRequest(1 + 0.01 * static_cast<double>(key), key);
   double now = 1.5;
@@ -119,14 +126,14 @@
     if (callsInFlight.empty() || step % 3 != 0) continue;
     const CallKey call = callsInFlight.begin()->first;
     callsInFlight.erase(callsInFlight.begin());
-    core.onCallEnded(at(now), call, kinds[next++ % std::size(kinds)], 0, {}, "failed");
+    core.onCallEnded(at(now), call, outcomes[next++ % std::size(outcomes)], 0, {}, "failed");
   }
   EXPECT_EQ(core.pendingObligations(), 0u);
   const Counters& counts = core.counters();
   EXPECT_EQ(counts.served + counts.rejected + counts.failed + counts.deadlineExceeded, 40u);
 }
 
-TEST_F(CoreRequestsTest, ADrainingRouterRejectsNewRequestsAndFinishesTheOthers) {
+TEST_F(CoreRequestsTest, RejectsNewRequestsAndFinishesOpenOnesWhenDraining) {
   const CallKey call = startStream(1, 7);
   core.drain(at(1.3));
   takeCommands();
@@ -140,7 +147,8 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreRequestsTest, TwoCoresShareNothing) {
+// A host may run several cores in one process: none may have state in common with another.
+TEST_F(CoreRequestsTest, KeepsStateSeparateBetweenCores) {
   Core other(test::twoStageSettings(), Options{"m", Duration(0.05), true, {}});
   other.onEngineListUpdate(at(0), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, {}});
   other.takeCommands();
@@ -151,8 +159,9 @@
   EXPECT_EQ(other.counters().accepted, 0u);
 }
 
-TEST_F(CoreRequestsTest, SameEventsGiveTheSameCommands) {
-  const auto play = [] {
+// Recorded streams of events can only be compared if the core is deterministic.
+TEST_F(CoreRequestsTest, IssuesSameCommandsForSameEvents) {
+  const auto runEvents = [] {
     Core core(test::twoStageSettings(), Options{"n", Duration(0.05), true, {}});
     std::string commands;
     core.onEngineListUpdate(
@@ -174,7 +183,7 @@
     }
     return commands;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(runEvents(), runEvents());
 }
 
 }  // namespace
--- a/tests/core_state_release_test.cpp
+++ b/tests/core_state_release_test.cpp
@@ -1,4 +1,4 @@
-// router::Core in virtual time: states at engines are released when their request ends.
+// router::Core in virtual time: the release of states at engines when their request ends.
 #include <gtest/gtest.h>
 
 #include "core_fixture.h"
@@ -10,7 +10,8 @@
 
 class CoreStateReleaseTest : public CoreFixture {};
 
-TEST_F(CoreStateReleaseTest, TheStateOfACancelledPrefillIsReleased) {
+// The prefill may complete at its engine although it was cancelled; its state would then stay leased.
+TEST_F(CoreStateReleaseTest, ReleasesStateWhenPrefillIsCancelled) {
   sendRequest(1, 7, 10, 4);
   const auto prefill = commandsOf<StartPrefill>(takeCommands()).front();
   core.onClientDisconnected(at(1.1), 7);
@@ -20,11 +21,12 @@
   ASSERT_EQ(releases.size(), 1u);
   EXPECT_EQ(releases.front().id, prefill.id);
   EXPECT_EQ(releases.front().engine, prefill.engine);
-  EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty()) << "there is no client to respond to";
+  EXPECT_TRUE(commandsOf<FinalResponse>(lastCommands).empty())
+      << "a disconnected client must not get a response";
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-TEST_F(CoreStateReleaseTest, AStateIsReleasedWhenItsClientDisconnects) {
+TEST_F(CoreStateReleaseTest, ReleasesStateWhenClientDisconnectsDuringDecode) {
   sendRequest(1, 7);
   const auto prefill = commandsOf<StartPrefill>(takeCommands()).front();
   core.onPrefillEnded(at(1.1), prefill.call, "state", 0, {});
@@ -38,9 +40,9 @@
   EXPECT_EQ(releases.front().engine, EngineId{1});
 }
 
-// The decode engine may only have failed to reach the prefill engine: the state is released at the request's
-// end.
-TEST_F(CoreStateReleaseTest, AStateThatADecodeEngineDidNotFindIsReleasedAtTheEnd) {
+// A decode engine also reports a lost state if it cannot reach the prefill engine, which then still has the
+// state. It must be released when the request ends.
+TEST_F(CoreStateReleaseTest, ReleasesStateAtRequestEndWhenDecodeEngineReportedItLost) {
   sendRequest(1, 7);
   core.onPrefillEnded(at(1.1), commandsOf<StartPrefill>(takeCommands()).front().call, "state", 0, {});
   const auto decode = commandsOf<StartDecode>(takeCommands()).front();
@@ -48,7 +50,7 @@
   drains.entries.front().state = EngineEntry::State::kDraining;
   core.onEngineListUpdate(at(1.15), drains);
   core.onCallEnded(at(1.2), decode.call, Outcome::kStateLost, 0, {}, "state is gone");
-  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty()) << "no prefill engine is left";
+  EXPECT_TRUE(commandsOf<StartPrefill>(takeCommands()).empty()) << "the only prefill engine is draining";
   lastCommands.clear();
   core.onClientDisconnected(at(1.3), 7);
   takeCommands();
@@ -57,11 +59,11 @@
   EXPECT_EQ(core.pendingObligations(), 0u);
 }
 
-// A violation is recorded with its request, also by a core that records nothing else.
-TEST_F(CoreStateReleaseTest, AnExpiredStateLeaseIsRecordedWithItsRequest) {
-  Options quiet;
-  quiet.recordsEnabled = false;
-  core = Core(test::twoStageSettings(), quiet);
+// Violations must be recorded with their request even if other records are disabled.
+TEST_F(CoreStateReleaseTest, RecordsExpiredStateLeaseWhenRecordsAreDisabled) {
+  Options withoutRecords;
+  withoutRecords.recordsEnabled = false;
+  core = Core(test::twoStageSettings(), withoutRecords);
   core.onEngineListUpdate(at(0),
                           {EngineListUpdate::Scope::kSnapshot,
                            {test::engineEntry(1, Role::kPrefill), test::engineEntry(2, Role::kDecode)}});
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -1,7 +1,7 @@
-// Seeded streams of inputs give the commands that were recorded for them: this test fails if a change of the
-// core's structure changes what it does. Record kinds count by the order of their first appearance and
-// reasons by the digits in them, so that both may be reworded. After an intended change the file is recorded
-// again: GANNETCOURSE_RECORD=1 build-ci/tests/core_tests --gtest_filter='*CoreStreams*'
+// Compares the commands of router::Core for seeded random inputs with a recorded digest, to detect changes of
+// behaviour during refactoring. The digest represents the kind of a record by the order of its first
+// appearance, and a reason by its digits and dots, so that both can be reworded. After an intended change,
+// record the file again: GANNETCOURSE_RECORD=1 build-ci/tests/core_tests --gtest_filter='*CoreStreams*'
 #include <gtest/gtest.h>
 
 #include <cctype>
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr std::uint32_t kSeeds = 12;
-constexpr double kSeconds = 15;  // seconds that a stream lasts
-constexpr double kStep = 0.02;
+constexpr double kRunSeconds = 15;     // virtual time during which inputs are generated
+constexpr double kStepSeconds = 0.02;  // virtual time between two steps
 
 std::string textOf(const std::optional<EngineId>& engine) {
   return engine ? std::to_string(engine->value) : "-";
@@ -43,7 +43,7 @@
   return numbers;
 }
 
-// The commands as text, one line each.
+// Formats each command as one line of text.
 class CommandText {
  public:
   std::string operator()(const StartPrefill& c) const {
@@ -93,8 +93,9 @@
   std::map<RecordKind, std::size_t> kinds_;
 };
 
-// One core among simulated engines and clients for some seconds: requests and resumed streams, calls that
-// succeed and fail, silence, tokens out of order, fences, drains, removals, disconnects, and new settings.
+// Runs one core with simulated engines and clients in virtual time. The inputs include requests and resumed
+// streams, calls that succeed and fail, silent engines, tokens out of order, fences, drains, removed engines,
+// client disconnects and new settings.
 class SimulatedRun {
  public:
   explicit SimulatedRun(std::uint32_t seed)
@@ -104,17 +105,17 @@
     for (std::uint32_t id = 1; id <= 9; ++id) entries_.push_back(entryOf(id));
     core_.onEngineListUpdate(now(), EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_});
     executeCommands();
-    for (; now_ < kSeconds; now_ += kStep) {
+    for (; now_ < kRunSeconds; now_ += kStepSeconds) {
       core_.advance(now());
       executeCommands();
-      if (now_ < kSeconds - 3 && randomBelow(3) == 0) sendRequest();
+      if (now_ < kRunSeconds - 3 && randomBelow(3) == 0) sendRequest();
       if (randomBelow(60) == 0) changeEngine();
       if (randomBelow(60) == 0) disconnectOrPauseClient();
       if (randomBelow(400) == 0) reconfigure();
       for (const CallInFlight& out : dueCalls()) progress(out);
     }
     core_.drain(now());
-    for (double end = now_ + 8; now_ < end; now_ += kStep) {
+    for (double end = now_ + 8; now_ < end; now_ += kStepSeconds) {
       core_.advance(now());
       executeCommands();
       for (const CallInFlight& out : dueCalls()) progress(out);
@@ -138,8 +139,8 @@
     int attempt = 0;
     EngineId engine;
     bool isPrefill = false;
-    std::uint32_t next = 0, end = 0;
-    double until = 0;
+    std::uint32_t nextToken = 0, endToken = 0;
+    double dueAt = 0;  // virtual time of the call's next event, seconds
   };
   struct Fence {
     RequestKey request = 0;
@@ -240,7 +241,7 @@
   std::vector<CallInFlight> dueCalls() {
     std::vector<CallInFlight> due;
     for (const auto& [call, out] : callsInFlight_) {
-      if (now_ >= out.until) due.push_back(out);
+      if (now_ >= out.dueAt) due.push_back(out);
     }
     return due;
   }
@@ -252,7 +253,7 @@
     return load;
   }
 
-  // One step of a call: its prefill ends, a token comes, or it ends well or badly.
+  // Simulates the next event of a call: its prefill ends, a token arrives, or the call succeeds or fails.
   void progress(const CallInFlight& due) {
     const auto it = callsInFlight_.find(due.call);
     if (it == callsInFlight_.end()) return;
@@ -260,31 +261,32 @@
     const Outcome failures[] = {Outcome::kError,    Outcome::kReset,   Outcome::kConnectFailed,
                                 Outcome::kRejected, Outcome::kTimeout, Outcome::kStateLost};
     if (draw == 0)
-      return end(due, failures[randomBelow(6)],
-                 randomBelow(2) == 0 ? recovery::AttemptEnd::kConfirmed : recovery::AttemptEnd::kAbandoned);
+      return endCall(
+          due, failures[randomBelow(6)],
+          randomBelow(2) == 0 ? recovery::AttemptEnd::kConfirmed : recovery::AttemptEnd::kAbandoned);
     if (due.isPrefill) {
       callsInFlight_.erase(it);
       core_.onPrefillEnded(now(), due.call, "state-" + std::to_string(due.call), randomBelow(200), report());
       return executeCommands();
     }
-    if (due.next >= due.end) return end(due, Outcome::kOk, recovery::AttemptEnd::kConfirmed);
-    std::uint32_t index = due.next;
-    if (draw == 1) ++index;                  // a token is missing
-    if (draw == 2 && due.next > 0) --index;  // one comes twice
-    if (index == due.next) ++it->second.next;
-    it->second.until = now_ + (draw == 3 ? 2.5 : 0.03 + randomBelow(4) * 0.02);
+    if (due.nextToken >= due.endToken) return endCall(due, Outcome::kOk, recovery::AttemptEnd::kConfirmed);
+    std::uint32_t index = due.nextToken;
+    if (draw == 1) ++index;                       // skip a token
+    if (draw == 2 && due.nextToken > 0) --index;  // repeat a token
+    if (index == due.nextToken) ++it->second.nextToken;
+    it->second.dueAt = now_ + (draw == 3 ? 2.5 : 0.03 + randomBelow(4) * 0.02);
     core_.onToken(now(), due.call, index, "t" + std::to_string(index));
     executeCommands();
   }
 
-  void end(const CallInFlight& due, Outcome outcome, recovery::AttemptEnd attemptEnd) {
+  void endCall(const CallInFlight& due, Outcome outcome, recovery::AttemptEnd attemptEnd) {
     callsInFlight_.erase(due.call);
     core_.onCallEnded(now(), due.call, outcome, 0, report(), "engine said " + std::to_string(randomBelow(9)),
                       attemptEnd);
     executeCommands();
   }
 
-  // Adds the core's commands to the digest and carries them out.
+  // Adds the core's pending commands to the digest and executes them.
   void executeCommands() {
     std::vector<Command> commands;
     while (core_.takeCommandsInto(commands)) {
@@ -310,7 +312,7 @@
         now_ + duration};
   }
   void execute(const CancelCall& c) {
-    // What a cancelled call still brings has to be ignored.
+    // A token of a cancelled call may still arrive; the core must ignore it.
     if (randomBelow(4) == 0) core_.onToken(now(), c.call, 0, "late");
     callsInFlight_.erase(c.call);
   }
@@ -336,7 +338,7 @@
   RequestKey lastRequest_ = 10;
 };
 
-TEST(CoreStreams, GiveTheRecordedCommands) {
+TEST(CoreStreams, IssueTheRecordedCommandsForSeededInputs) {
   std::ostringstream replayed;
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed)
     replayed << seed << " " << SimulatedRun(seed).run() << "\n";
@@ -344,7 +346,7 @@
   if (std::getenv("GANNETCOURSE_RECORD") != nullptr) std::ofstream(path) << replayed.str();
   std::ostringstream recorded;
   recorded << std::ifstream(path).rdbuf();
-  EXPECT_EQ(replayed.str(), recorded.str()) << "seed, digest, number of commands";
+  EXPECT_EQ(replayed.str(), recorded.str()) << "each line: seed, digest, number of digested lines";
 }
 
 }  // namespace
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -1,4 +1,4 @@
-// Each violation of an invariant is found and counted, whatever asked for the attempt or the rejection.
+// InvariantGuard: each violation of an invariant is detected and counted.
 #include "router/invariant_guard.h"
 
 #include <gtest/gtest.h>
@@ -34,8 +34,8 @@
     s.classes[kAtMostOnceClass].idempotency = Idempotency::kAtMostOnce;
     return s;
   }
-  // A request with one decode attempt, started at 1 s, that ended so.
-  void endAttempt(std::size_t classIndex, Outcome outcome) {
+  // Accepts a request and runs one decode attempt from 1 s to 1.5 s that ends with `outcome`.
+  void runDecodeAttempt(std::size_t classIndex, Outcome outcome) {
     guard.onRequestAccepted(kRequest, classIndex);
     guard.onAttemptStarted(at(1), kRequest, kDecodeEngine, CallKind::kDecode);
     guard.onAttemptEnded(at(1.5), kRequest, outcome);
@@ -43,6 +43,7 @@
   std::uint64_t countOf(Violation violation) const {
     return guard.violations()[static_cast<std::size_t>(violation)];
   }
+  // Expects that an attempt at `engine` would be the first violation of the test.
   void expectBlocked(Violation violation, EngineId engine, double when) {
     EXPECT_EQ(guard.checkAttempt(at(when), kRequest, engine), violation);
     EXPECT_EQ(countOf(violation), 1U);
@@ -52,19 +53,19 @@
   InvariantGuard guard;
 };
 
-TEST_F(InvariantGuardTest, ASecondAttemptWhileOneIsInFlight) {
+TEST_F(InvariantGuardTest, BlocksAttemptWhileAnotherIsInFlight) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   guard.onAttemptStarted(at(1), kRequest, kPrefillEngine, CallKind::kPrefill);
   expectBlocked(Violation::kConcurrentAttempts, kDecodeEngine, 1.1);
 }
 
-TEST_F(InvariantGuardTest, AnAttemptAfterTheFinalResponse) {
+TEST_F(InvariantGuardTest, BlocksAttemptAfterTheFinalResponse) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   guard.onFinalResponse(at(1), kRequest, at(2));
   expectBlocked(Violation::kAttemptAfterResponse, kPrefillEngine, 1.1);
 }
 
-TEST_F(InvariantGuardTest, ASecondResponseAndALateOne) {
+TEST_F(InvariantGuardTest, CountsSecondAndLateResponses) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   guard.onFinalResponse(at(2.4), kRequest, at(2));
   EXPECT_EQ(total(guard.violations()), 0U);
@@ -73,24 +74,25 @@
   EXPECT_EQ(countOf(Violation::kLateResponse), 1U);
 }
 
-TEST_F(InvariantGuardTest, AnAtMostOnceAttemptThatMayHaveRunIsNeitherRepeatedNorRejected) {
-  endAttempt(kAtMostOnceClass, Outcome::kTimeout);
+// A second attempt could have the effect twice, and a rejection would invite the client to retry.
+TEST_F(InvariantGuardTest, BlocksRepeatAndRejectionWhenAtMostOnceAttemptMayHaveExecuted) {
+  runDecodeAttempt(kAtMostOnceClass, Outcome::kTimeout);
   expectBlocked(Violation::kDuplicateEffect, kDecodeEngine, 1.6);
   EXPECT_EQ(guard.checkRejection(kRequest), Violation::kRejectedAfterStart);
 }
 
-TEST_F(InvariantGuardTest, AnAtMostOnceAttemptThatNeverRanMayBeRepeatedAndRejected) {
+TEST_F(InvariantGuardTest, AllowsRepeatAndRejectionWhenAtMostOnceAttemptNeverExecuted) {
   for (const Outcome outcome :
        {Outcome::kRejected, Outcome::kStateLost, Outcome::kConnectFailed, Outcome::kNotSent}) {
     guard.forget(kRequest);
-    endAttempt(kAtMostOnceClass, outcome);
+    runDecodeAttempt(kAtMostOnceClass, outcome);
     EXPECT_EQ(guard.checkAttempt(at(1.6), kRequest, kDecodeEngine), std::nullopt);
     EXPECT_EQ(guard.checkRejection(kRequest), std::nullopt);
   }
   EXPECT_EQ(total(guard.violations()), 0U);
 }
 
-TEST_F(InvariantGuardTest, AnAtMostOnceRequestIsNotRejectedDuringItsDecode) {
+TEST_F(InvariantGuardTest, BlocksRejectionOfAtMostOnceRequestDuringItsDecode) {
   guard.onRequestAccepted(kRequest, kAtMostOnceClass);
   guard.onAttemptStarted(at(1), kRequest, kPrefillEngine, CallKind::kPrefill);
   EXPECT_EQ(guard.checkRejection(kRequest), std::nullopt) << "a prefill has no effect";
@@ -99,19 +101,21 @@
   EXPECT_EQ(guard.checkRejection(kRequest), Violation::kRejectedAfterStart);
 }
 
-TEST_F(InvariantGuardTest, ARepeatOutsideItsDedupWindowOrScope) {
-  endAttempt(kKeyClass, Outcome::kReset);
+// Engines drop a repeated idempotency key only within the deduplication window and scope of the first
+// attempt.
+TEST_F(InvariantGuardTest, BlocksRepeatOutsideDedupWindowOrScope) {
+  runDecodeAttempt(kKeyClass, Outcome::kReset);
   EXPECT_EQ(guard.checkAttempt(at(2.9), kRequest, kOtherZoneEngine), std::nullopt);
   expectBlocked(Violation::kDuplicateEffect, kDecodeEngine, 3.1);
   guard.forget(kRequest);
-  endAttempt(kZoneKeyClass, Outcome::kReset);
+  runDecodeAttempt(kZoneKeyClass, Outcome::kReset);
   EXPECT_EQ(guard.checkAttempt(at(1.6), kRequest, kDecodeEngine), std::nullopt);
   EXPECT_EQ(guard.checkAttempt(at(1.6), kRequest, kOtherZoneEngine), Violation::kDuplicateEffect);
   EXPECT_EQ(guard.checkRejection(kRequest), Violation::kRejectedAfterStart)
-      << "its retry may come to another zone";
+      << "the client's retry may be routed to another zone";
 }
 
-TEST_F(InvariantGuardTest, AnAttemptToADrainingOrUnlistedEngine) {
+TEST_F(InvariantGuardTest, BlocksAttemptAtDrainingOrUnlistedEngine) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   EngineEntry draining = engineEntry(1, Role::kPrefill), removed = engineEntry(2, Role::kDecode);
   draining.state = EngineEntry::State::kDraining;
@@ -122,10 +126,10 @@
   EXPECT_EQ(guard.checkAttempt(at(1), kRequest, kOtherZoneEngine), std::nullopt);
   guard.onEngineListUpdate({EngineListUpdate::Scope::kFetchFailed, {}});
   EXPECT_EQ(guard.checkAttempt(at(1), kRequest, kOtherZoneEngine), std::nullopt)
-      << "a failed fetch changes nothing";
+      << "a failed fetch must not change the engine list";
 }
 
-TEST_F(InvariantGuardTest, AStateLeasedForLongerThanTheLimit) {
+TEST_F(InvariantGuardTest, CountsStateLeasedForLongerThanTheLimit) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   guard.onStateLeased(at(1), kRequest);
   guard.onStateReleased(at(1.9), kRequest);
@@ -136,11 +140,12 @@
   guard.onStateLeased(at(4), kRequest);
   guard.onStateTransferred(kRequest);
   guard.onStateReleased(at(6), kRequest);
-  EXPECT_EQ(countOf(Violation::kStateLeaseExpired), 1U) << "the decode engine has it";
+  EXPECT_EQ(countOf(Violation::kStateLeaseExpired), 1U)
+      << "a state that a decode engine has taken is not leased any more";
 }
 
-// An attempt counts once it has arrived, and only a response shows that it has.
-TEST_F(InvariantGuardTest, OnlyAnAttemptWithAResponseRenewsTheLease) {
+// An attempt renews the lease when it reaches the engine, and only a response proves that it did.
+TEST_F(InvariantGuardTest, RenewsLeaseOnlyForAttemptsWithAResponse) {
   double now = 0;
   const auto expiredAfterAttempt = [&](Outcome outcome) {
     now += 10;
@@ -160,7 +165,7 @@
     EXPECT_EQ(expiredAfterAttempt(outcome), ++expected);
 }
 
-TEST_F(InvariantGuardTest, AStateStaysLeasedWhileItsDecodeHasNoResponse) {
+TEST_F(InvariantGuardTest, KeepsStateLeasedWhileItsDecodeHasNoResponse) {
   guard.onRequestAccepted(kRequest, kIdempotentClass);
   guard.onStateLeased(at(1), kRequest);
   guard.onAttemptStarted(at(1.1), kRequest, kDecodeEngine, CallKind::kDecode);
@@ -168,8 +173,8 @@
   EXPECT_EQ(countOf(Violation::kStateLeaseExpired), 1U);
 }
 
-TEST_F(InvariantGuardTest, CountsAreListedByName) {
-  endAttempt(kAtMostOnceClass, Outcome::kReset);
+TEST_F(InvariantGuardTest, ListsCountsByName) {
+  runDecodeAttempt(kAtMostOnceClass, Outcome::kReset);
   guard.checkAttempt(at(2), kRequest, kDecodeEngine);
   guard.checkAttempt(at(2), kRequest, kDecodeEngine);
   guard.checkRejection(kRequest);
--- a/tests/orphaned_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -1,5 +1,5 @@
-// Attempts that were given up without their engine's answer may still leave a state there: releases are
-// repeated.
+// An attempt that was abandoned without its engine's response may still leave a state there. These tests
+// check that its release is repeated, deferred and stopped as required.
 #include <gtest/gtest.h>
 
 #include "gannetcourse/router.h"
@@ -66,23 +66,24 @@
   std::vector<double> releases;
 };
 
-TEST_F(OrphanedStatesTest, AnAbandonedPrefillIsReleasedRepeatedlyForALimitedTime) {
+// An engine that stalls may complete an abandoned prefill after its first release.
+TEST_F(OrphanedStatesTest, RepeatsReleaseOfAbandonedPrefillForALimitedTime) {
   startPrefill(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
-  ASSERT_EQ(releases.size(), 1U) << "immediately";
+  ASSERT_EQ(releases.size(), 1U) << "the first release must be sent immediately";
   advanceTo(1.1 + 4);
   EXPECT_GE(releases.size(), 8U);
   EXPECT_LE(longestGap(), kLeaseLimit);
   advanceTo(60);
   const std::size_t releaseCount = releases.size();
   advanceTo(120);
-  EXPECT_EQ(releases.size(), releaseCount) << "for a limited time";
+  EXPECT_EQ(releases.size(), releaseCount) << "the releases must end after a limited time";
 }
 
-// An engine that responds to a later attempt has seen the end of the connection before: one more release is
+// An engine that responds to a later attempt has noticed the end of the abandoned one, so one more release is
 // enough.
-TEST_F(OrphanedStatesTest, AResponseToALaterAttemptEndsTheReleases) {
+TEST_F(OrphanedStatesTest, StopsReleasesAfterEngineRespondsToALaterAttempt) {
   startPrefill(1, kRequest);
   core.onClientDisconnected(at(1.1), kRequest);
   collect(1.1);
@@ -93,7 +94,7 @@
   EXPECT_EQ(releases.size(), 2U);
 }
 
-TEST_F(OrphanedStatesTest, ADrainDoesNotWaitForReleases) {
+TEST_F(OrphanedStatesTest, HasNoPendingObligationsForReleasesWhenDraining) {
   startPrefill(1, kRequest);
   core.drain(at(1.05));
   core.onClientDisconnected(at(1.1), kRequest);
@@ -102,9 +103,9 @@
   EXPECT_EQ(core.pendingObligations(), 0U);
 }
 
-// While a later attempt of the request is in flight, or its state waits, a release by name would release that
-// state.
-TEST_F(OrphanedStatesTest, ReleasesAreDeferredWhileALaterAttemptIsInFlight) {
+// A release by request id would also release the state of a later attempt that is in flight or that has left
+// a state for its decode call.
+TEST_F(OrphanedStatesTest, DefersReleasesWhileALaterAttemptIsInFlight) {
   const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   CallKey second = 0;
@@ -115,7 +116,7 @@
     }
   };
   collectAll(1.1);
-  ASSERT_NE(second, 0U) << "it is retried immediately";
+  ASSERT_NE(second, 0U) << "the prefill must be retried immediately";
   while (core.nextWakeup() && *core.nextWakeup() < at(1.4)) {
     const Instant when = *core.nextWakeup();
     core.advance(when);
@@ -129,9 +130,9 @@
   EXPECT_GE(releases.size(), 1U);
 }
 
-// The later attempt may not have arrived, and then does not renew the lease of the state that the first one
-// left.
-TEST_F(OrphanedStatesTest, ReleasesAreNotDeferredBeyondTheLeaseLimit) {
+// The later attempt may not have reached the engine. Then it does not renew the lease of the state that the
+// first attempt left.
+TEST_F(OrphanedStatesTest, DoesNotDeferReleasesBeyondTheLeaseLimit) {
   const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kReset, 0, {}, "broke");
   collect(1.1);
@@ -140,9 +141,9 @@
   EXPECT_EQ(releases.size(), 1U);
 }
 
-// An error may have been a late second response to an earlier call on that connection, with the prefill still
-// running: its state is released repeatedly once the request is over, and not during a later attempt.
-TEST_F(OrphanedStatesTest, AFailedPrefillIsReleasedAtTheEndOfItsRequest) {
+// A reported error may be a late second response to an earlier call on the same connection while the prefill
+// still runs. Its state must be released repeatedly once the request has ended.
+TEST_F(OrphanedStatesTest, ReleasesFailedPrefillAtTheEndOfItsRequest) {
   EngineListUpdate drain{EngineListUpdate::Scope::kDelta, {test::engineEntry(1, Role::kPrefill)}};
   drain.entries.front().state = EngineEntry::State::kDraining;
   const CallKey first = startPrefill(1, kRequest);
@@ -156,7 +157,8 @@
   EXPECT_LE(longestGap(), kLeaseLimit);
 }
 
-TEST_F(OrphanedStatesTest, AFailedPrefillIsForgottenWithTheFirstToken) {
+// After the first token no state of the request is leased any more, so a failed prefill needs no release.
+TEST_F(OrphanedStatesTest, DropsFailedPrefillAfterTheFirstToken) {
   const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey prefill = 0, decode = 0;
@@ -179,15 +181,18 @@
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
-TEST_F(OrphanedStatesTest, AFailedPrefillIsNotReleasedDuringALaterAttempt) {
+// A release by request id would release the state that the later attempt needs. Unlike for other attempts,
+// the deferral has no time limit.
+TEST_F(OrphanedStatesTest, DoesNotReleaseFailedPrefillDuringALaterAttempt) {
   const CallKey first = startPrefill(1, kRequest);
   core.onCallEnded(at(1.1), first, Outcome::kError, 0, {}, "status 500");
   CallKey second = 0;
   for (const Command& command : core.takeCommands()) {
     if (const auto* const prefill = std::get_if<StartPrefill>(&command)) second = prefill->call;
   }
-  ASSERT_NE(second, 0U) << "it is retried immediately";
-  advanceTo(1.1 + 0.95 * kLeaseLimit);  // past the limit of other deferrals, before the second is cancelled
+  ASSERT_NE(second, 0U) << "the prefill must be retried immediately";
+  advanceTo(1.1 +
+            0.95 * kLeaseLimit);  // after the deferral limit of other entries, before the second call ends
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,4 +1,4 @@
-// The recovery module: when a stream counts as lost, and whether, when and how many are continued.
+// recovery::Recovery: which streams are migrated, and whether and when lost streams are continued.
 #include "gannetcourse/recovery.h"
 
 #include <gtest/gtest.h>
@@ -19,19 +19,20 @@
   return l;
 }
 
-LostStream lost(StreamKey key, std::size_t classIndex = 0, double tokens = 1000, double left = 10) {
-  return {key, classIndex, tokens, Duration(left), 0, 2, AttemptEnd::kConfirmed};
+LostStream lostStream(StreamKey key, std::size_t classIndex = 0, double tokens = 1000,
+                      double secondsLeft = 10) {
+  return {key, classIndex, tokens, Duration(secondsLeft), 0, 2, AttemptEnd::kConfirmed};
 }
 
-Stream stream(std::size_t classIndex, std::uint32_t engine = 1) {
+Stream startedStream(std::size_t classIndex, std::uint32_t engine = 1) {
   return {classIndex, EngineId{engine}, 1000, 1000, at(1000), 0, 2};
 }
 
 class RecoveryTest : public ::testing::Test {
  protected:
-  // Streams that bring a token every 50 ms until `end`.
+  // Starts a stream at `from` that receives a token every 50 ms until `end`, in seconds.
   void runStream(StreamKey key, double from, double end, std::size_t classIndex = 0) {
-    recovery.onStreamStarted(at(from), key, stream(classIndex));
+    recovery.onStreamStarted(at(from), key, startedStream(classIndex));
     for (double t = from; t < end; t += 0.05) recovery.onToken(at(t), key, 6);
   }
   std::vector<StreamKey> migrated(Instant now) {
@@ -43,136 +44,144 @@
   Recovery recovery{limits()};
 };
 
-TEST_F(RecoveryTest, AnIdempotentStreamIsContinued) {
+TEST_F(RecoveryTest, ContinuesStreamOfIdempotentClass) {
   runStream(1, 0, 1);
-  EXPECT_EQ(recovery.onStreamLost(at(1), lost(1)).disposition, Disposition::kContinue);
+  EXPECT_EQ(recovery.onStreamLost(at(1), lostStream(1)).disposition, Disposition::kContinue);
 }
 
-TEST_F(RecoveryTest, AStreamWithAnEffectIsNeverContinued) {
+// A continuation of a class that is not idempotent could have its effect twice.
+TEST_F(RecoveryTest, GivesUpStreamOfNonIdempotentClass) {
   runStream(1, 0, 1, 1);
   runStream(2, 0, 1, 2);
   for (const StreamKey key : {1, 2}) {
-    const Decision d = recovery.onStreamLost(at(1), lost(key, key));
+    const Decision d = recovery.onStreamLost(at(1), lostStream(key, key));
     EXPECT_EQ(d.disposition, Disposition::kGiveUp);
     EXPECT_EQ(d.reason, "its effect may have happened");
   }
 }
 
-TEST_F(RecoveryTest, GivesUpWhereAContinuationCannotSucceed) {
+TEST_F(RecoveryTest, GivesUpWhenTimeAttemptsContinuationsOrTextAreMissing) {
   runStream(1, 0, 1);
-  LostStream late = lost(1);
+  LostStream late = lostStream(1);
   late.timeUntilDeadline = Duration(0.3);
   EXPECT_EQ(recovery.onStreamLost(at(1), late).reason, "no time left");
-  LostStream noAttemptsLeft = lost(1);
+  LostStream noAttemptsLeft = lostStream(1);
   noAttemptsLeft.attempts = 5;
   EXPECT_EQ(recovery.onStreamLost(at(1), noAttemptsLeft).reason, "no attempts left");
-  LostStream continuedOften = lost(1);
+  LostStream continuedOften = lostStream(1);
   continuedOften.continuations = 3;
   EXPECT_EQ(recovery.onStreamLost(at(1), continuedOften).reason, "moved too often");
-  EXPECT_EQ(recovery.onStreamLost(at(1), lost(9)).reason, "its text was not kept");
+  EXPECT_EQ(recovery.onStreamLost(at(1), lostStream(9)).reason, "its text was not kept");
 }
 
-TEST_F(RecoveryTest, TextBeyondItsBufferLimitPreventsAContinuation) {
+TEST_F(RecoveryTest, GivesUpStreamWhenItsTextExceedsABufferLimit) {
   Limits l = limits();
   l.maxBufferedBytesPerStream = 100;
   l.maxBufferedBytes = 150;
   Recovery small(l);
-  small.onStreamStarted(at(0), 1, stream(0));
-  small.onStreamStarted(at(0), 2, stream(0));
+  small.onStreamStarted(at(0), 1, startedStream(0));
+  small.onStreamStarted(at(0), 2, startedStream(0));
   EXPECT_TRUE(small.onToken(at(0), 1, 90));
-  EXPECT_FALSE(small.onToken(at(0), 2, 70)) << "over the router's";
+  EXPECT_FALSE(small.onToken(at(0), 2, 70)) << "160 bytes exceed the router's limit of 150";
   EXPECT_EQ(small.bufferedBytes(), 90u);
-  EXPECT_FALSE(small.onToken(at(0), 1, 20)) << "over the stream's";
+  EXPECT_FALSE(small.onToken(at(0), 1, 20)) << "110 bytes exceed the stream's limit of 100";
   EXPECT_EQ(small.bufferedBytes(), 0u);
-  EXPECT_FALSE(small.onToken(at(0), 1, 1)) << "it stays so";
-  EXPECT_EQ(small.onStreamLost(at(1), lost(1)).disposition, Disposition::kGiveUp);
+  EXPECT_FALSE(small.onToken(at(0), 1, 1)) << "the text is incomplete from then on";
+  EXPECT_EQ(small.onStreamLost(at(1), lostStream(1)).disposition, Disposition::kGiveUp);
 }
 
-TEST_F(RecoveryTest, ASilentStreamIsMigratedAndAPausingOneIsNot) {
+TEST_F(RecoveryTest, MigratesSilentStreamOnlyAfterMinSilence) {
   runStream(1, 0, 1);
   runStream(2, 0, 4);
-  EXPECT_TRUE(migrated(at(2.2)).empty()) << "a pause of 1.2 s";
+  EXPECT_TRUE(migrated(at(2.2)).empty()) << "1.2 s without a token is less than minSilence";
   EXPECT_EQ(migrated(at(4)), std::vector<StreamKey>{1});
 }
 
-TEST_F(RecoveryTest, NoStreamIsMigratedWhileAllStandStill) {
+// If no stream receives tokens, the router or the network is the cause. Migration would not help.
+TEST_F(RecoveryTest, MigratesNoStreamWhenAllAreSilent) {
   runStream(1, 0, 1);
   runStream(2, 0, 1);
   EXPECT_TRUE(migrated(at(9)).empty());
 }
 
-TEST_F(RecoveryTest, APausedClientIsNoSilence) {
+// While a client does not read, its stream receives no tokens although its engine works.
+TEST_F(RecoveryTest, DoesNotMigrateStreamWhileItsClientIsPaused) {
   runStream(1, 0, 1);
   recovery.onClientPaused(at(1), 1, true);
   runStream(2, 0, 5);
   EXPECT_TRUE(migrated(at(5)).empty());
   recovery.onClientPaused(at(5), 1, false);
   runStream(3, 5, 8);
-  EXPECT_TRUE(migrated(at(5.5)).empty()) << "the tokens that were kept back come first";
+  EXPECT_TRUE(migrated(at(5.5)).empty()) << "silence must be counted from the end of the pause";
   EXPECT_EQ(migrated(at(8)), (std::vector<StreamKey>{1, 2}));
 }
 
-TEST_F(RecoveryTest, TheLossOfAThirdOfTheEnginesCausesNoStorm) {
+// The loss of many engines at once must not overload the others with the prefills of continuations.
+TEST_F(RecoveryTest, LimitsContinuationsToTheBudgetWhenManyStreamsAreLost) {
   for (StreamKey key = 1; key <= 30; ++key) runStream(key, 0, 1);
   int continued = 0;
   for (StreamKey key = 1; key <= 30; ++key)
-    continued += recovery.onStreamLost(at(1), lost(key)).disposition == Disposition::kContinue;
-  EXPECT_EQ(continued, 3) << "the burst";
+    continued += recovery.onStreamLost(at(1), lostStream(key)).disposition == Disposition::kContinue;
+  EXPECT_EQ(continued, 3) << "the burst of 3000 tokens allows three streams";
   EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toContinue.empty());
-  recovery.onPrefillStarted(4000);  // of new requests: half as much for continuations
+  recovery.onPrefillStarted(4000);  // adds half as many tokens to the budget
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue.size(), 2u);
   const auto late = recovery.takeDueStreams(at(3));
-  EXPECT_EQ(late.toGiveUp.size(), 25u) << "streams that waited too long are given up";
+  EXPECT_EQ(late.toGiveUp.size(), 25u) << "streams that waited longer than maxWait must be given up";
   EXPECT_TRUE(recovery.takeDueStreams(at(3.1)).toGiveUp.empty());
 }
 
-TEST_F(RecoveryTest, TheGreaterPriorityWeightComesFirst) {
+TEST_F(RecoveryTest, ContinuesStreamOfGreaterPriorityWeightFirst) {
   for (StreamKey key = 1; key <= 6; ++key) runStream(key, 0, 1, key == 6 ? 3 : 0);
-  for (StreamKey key = 1; key <= 6; ++key) recovery.onStreamLost(at(1), lost(key, key == 6 ? 3 : 0));
+  for (StreamKey key = 1; key <= 6; ++key) recovery.onStreamLost(at(1), lostStream(key, key == 6 ? 3 : 0));
   recovery.onPrefillStarted(2000);
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{6});
 }
 
-TEST_F(RecoveryTest, DisabledRecoveryContinuesNothing) {
+TEST_F(RecoveryTest, NeitherContinuesNorMigratesWhenDisabled) {
   Limits l = limits();
   l.enabled = false;
   Recovery disabled(l);
-  disabled.onStreamStarted(at(0), 1, stream(0));
+  disabled.onStreamStarted(at(0), 1, startedStream(0));
   disabled.onToken(at(0), 1, 5);
-  EXPECT_EQ(disabled.onStreamLost(at(1), lost(1)).reason, "recovery is off");
+  EXPECT_EQ(disabled.onStreamLost(at(1), lostStream(1)).reason, "recovery is off");
   EXPECT_TRUE(disabled.streamsToMigrate(at(9)).empty());
 }
 
-TEST_F(RecoveryTest, AStreamThatMayStillRunWaitsForItsFenceOrItsLease) {
+// The engine of an abandoned attempt may still run it. The continuation must not start before the fence is
+// confirmed or the engine's lease has expired.
+TEST_F(RecoveryTest, ContinuesAbandonedStreamOnlyAfterFenceOrLeaseExpiry) {
   runStream(1, 0, 1);
   runStream(2, 0, 1);
-  LostStream abandoned = lost(1);
+  LostStream abandoned = lostStream(1);
   abandoned.attemptEnd = AttemptEnd::kAbandoned;
   EXPECT_EQ(recovery.onStreamLost(at(1), abandoned).disposition, Disposition::kFenceFirst)
-      << "its engine is asked immediately";
+      << "the fence must be requested immediately";
   abandoned.stream = 2;
   EXPECT_EQ(recovery.onStreamLost(at(1), abandoned).disposition, Disposition::kFenceFirst);
-  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toFence.empty()) << "and not at every check";
+  EXPECT_TRUE(recovery.takeDueStreams(at(1.1)).toFence.empty())
+      << "the fence must not be repeated before fenceRetryInterval";
   EXPECT_EQ(recovery.onAttemptFenced(at(1.2), 1), Disposition::kContinue);
   const auto due = recovery.takeDueStreams(at(1.3));
-  EXPECT_TRUE(due.toContinue.empty()) << "once";
-  EXPECT_EQ(due.toFence, std::vector<StreamKey>{2}) << "the silent one is asked again";
+  EXPECT_TRUE(due.toContinue.empty()) << "a fenced stream must be continued only once";
+  EXPECT_EQ(due.toFence, std::vector<StreamKey>{2}) << "a fence without an answer must be repeated";
   EXPECT_TRUE(recovery.takeDueStreams(at(2.9)).toContinue.empty());
   EXPECT_EQ(recovery.takeDueStreams(at(3.05)).toContinue, std::vector<StreamKey>{2})
-      << "its lease has expired";
+      << "the engine's lease has expired";
 }
 
-TEST_F(RecoveryTest, AStreamThatCannotBeContinuedIsNotMigrated) {
+TEST_F(RecoveryTest, DoesNotMigrateStreamThatCannotBeContinued) {
   runStream(1, 0, 1, 1);
   runStream(2, 0, 4);
-  EXPECT_TRUE(migrated(at(4)).empty()) << "it may still complete where it is";
+  EXPECT_TRUE(migrated(at(4)).empty()) << "the stream may still complete at its engine";
 }
 
-TEST_F(RecoveryTest, LongStreamsOfAnEngineThatShutsDownMigrateInWaves) {
+// If all streams of an engine that shuts down migrated at once, the other engines would be overloaded.
+TEST_F(RecoveryTest, MigratesLongStreamsInWavesBeforeTheirEngineShutsDown) {
   for (StreamKey key = 1; key <= 6; ++key)
     recovery.onStreamStarted(at(0), key, {0, EngineId{7}, 400, 100, at(60), 0, 2});
   recovery.onStreamStarted(at(0), 7,
-                           {0, EngineId{7}, 400, 22, at(60), 0, 2});  // short: it ends before its engine does
+                           {0, EngineId{7}, 400, 22, at(60), 0, 2});  // short: ends before the shutdown
   recovery.onStreamStarted(at(0), 8, {0, EngineId{8}, 400, 100, at(60), 0, 2});
   for (double t = 0; t < 1; t += 0.05) {
     for (StreamKey key = 1; key <= 8; ++key) recovery.onToken(at(t), key, 6);
@@ -182,23 +191,25 @@
   std::vector<StreamKey> all;
   for (int check = 0; check < 7; ++check) {
     const auto wave = migrated(at(1 + 0.1 * check));
-    EXPECT_LE(wave.size(), 1u) << "spread over the time that is left";
+    EXPECT_LE(wave.size(), 1u) << "migrations must be spread over the time until the shutdown";
     for (const StreamKey key : wave) {
-      LostStream abandoned = lost(key, 0, 420);
+      LostStream abandoned = lostStream(key, 0, 420);
       abandoned.attemptEnd = AttemptEnd::kAbandoned;
       recovery.onStreamLost(at(1 + 0.1 * check), abandoned);
       all.push_back(key);
     }
   }
   EXPECT_EQ(all, (std::vector<StreamKey>{1, 2, 3, 4, 5, 6}));
-  EXPECT_LE(1 + 0.1 * 7, 2 - limits().migrationLeadTime.count() + 1e-9) << "before its end";
+  EXPECT_LE(1 + 0.1 * 7, 2 - limits().migrationLeadTime.count() + 1e-9)
+      << "all must have migrated before the shutdown";
 }
 
-TEST_F(RecoveryTest, AFencedStreamWaitsBehindThoseThatWaitForTheBudget) {
+// A fenced stream must not take the budget before streams that have waited for it longer.
+TEST_F(RecoveryTest, ContinuesFencedStreamAfterThoseWaitingForTheBudget) {
   for (StreamKey key = 1; key <= 4; ++key) runStream(key, 0, 1);
-  recovery.onStreamLost(at(1), lost(1, 0, 3000));
-  EXPECT_EQ(recovery.onStreamLost(at(1), lost(2)).disposition, Disposition::kWait);
-  LostStream abandoned = lost(3);
+  recovery.onStreamLost(at(1), lostStream(1, 0, 3000));
+  EXPECT_EQ(recovery.onStreamLost(at(1), lostStream(2)).disposition, Disposition::kWait);
+  LostStream abandoned = lostStream(3);
   abandoned.attemptEnd = AttemptEnd::kAbandoned;
   recovery.onStreamLost(at(1), abandoned);
   recovery.onPrefillStarted(2000);
@@ -206,41 +217,41 @@
   EXPECT_EQ(recovery.takeDueStreams(at(1.2)).toContinue, std::vector<StreamKey>{2});
 }
 
-TEST_F(RecoveryTest, AnEngineThatIsThereAfterItsShutdownTimeHasStayed) {
+// An engine that restarts under the same id must not be affected by the notice of its earlier shutdown.
+TEST_F(RecoveryTest, IgnoresShutdownNoticeWhoseTimeHasPassed) {
   recovery.onGoAway(at(0), EngineId{1});
   runStream(1, 4, 5);
-  EXPECT_TRUE(migrated(at(5)).empty()) << "a process that restarted under the same number";
+  EXPECT_TRUE(migrated(at(5)).empty()) << "the notice of the earlier shutdown has expired";
   recovery.onGoAway(at(5), EngineId{1});
-  EXPECT_EQ(migrated(at(5)).size(), 1u) << "and shuts down again";
+  EXPECT_EQ(migrated(at(5)).size(), 1u) << "a new notice must be obeyed";
 }
 
-TEST_F(RecoveryTest, AWithdrawnShutdownNoticeMigratesNothing) {
+TEST_F(RecoveryTest, DoesNotMigrateAfterShutdownNoticeIsWithdrawn) {
   runStream(1, 0, 1);
   recovery.onEngineShutdownNotice(EngineId{1}, at(3));
   recovery.onEngineShutdownNotice(EngineId{1}, {});
   EXPECT_TRUE(migrated(at(1)).empty());
 }
 
-TEST_F(RecoveryTest, ASlowStreamIsMigratedOnlyToMeetItsDeadline) {
+TEST_F(RecoveryTest, MigratesSlowStreamOnlyWhenItWouldMissItsDeadline) {
   recovery.onStreamStarted(at(0), 1, {0, EngineId{2}, 500, 100, at(20), 0, 2});
-  recovery.onStreamStarted(at(0), 2, {0, EngineId{2}, 500, 14, at(20), 0, 2});  // ends in time where it is
-  for (StreamKey key = 3; key <= 8; ++key) recovery.onStreamStarted(at(0), key, stream(0));
+  recovery.onStreamStarted(at(0), 2, {0, EngineId{2}, 500, 14, at(20), 0, 2});  // short: meets its deadline
+  for (StreamKey key = 3; key <= 8; ++key) recovery.onStreamStarted(at(0), key, startedStream(0));
   for (int step = 0; step < 100; ++step) {
     const Instant now = at(0.05 * step);
     for (StreamKey key = 3; key <= 8; ++key) recovery.onToken(now, key, 6);
     if (step % 10 != 0) continue;
     recovery.onToken(now, 1, 6);
     recovery.onToken(now, 2, 6);
-    EXPECT_TRUE(step > 60 || migrated(now).empty()) << "not before it lasts";
+    EXPECT_TRUE(step > 60 || migrated(now).empty()) << "a stream must be slow for slowDuration first";
   }
   EXPECT_EQ(migrated(at(5)), std::vector<StreamKey>{1});
 }
 
-TEST_F(RecoveryTest, AMigrationBeyondTheBudgetIsNotBegun) {
+TEST_F(RecoveryTest, DoesNotMigrateStreamsBeyondTheBudget) {
   for (StreamKey key = 1; key <= 5; ++key) runStream(key, 0, 1);
   runStream(9, 0, 4);
-  EXPECT_EQ(migrated(at(4)).size(), 2u)
-      << "3000 tokens of burst, 1020 a stream; the rest stay where they are";
+  EXPECT_EQ(migrated(at(4)).size(), 2u) << "a budget of 3000 tokens allows two streams of 1020 tokens";
 }
 
 }  // namespace
