--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -98,7 +98,7 @@
   const auto it = streams_.find(stream);
   if (it == streams_.end()) return;
   it->second.isPaused = paused;
-  it->second.lastTokenAt = now;  // the pause itself must not count as silence
+  it->second.lastTokenAt = now;  // tokens that were held back during a pause arrive first
 }
 
 void Recovery::onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt) {
@@ -138,7 +138,8 @@
 }
 
 // If no stream receives tokens, the cause is the router or the network and not a single engine. A stream
-// therefore counts as silent only if another one has received a token since.
+// therefore counts as silent only if another stream has received a token later, by more than half of the
+// allowed silence.
 bool Recovery::isSilent(Instant now, const TrackedStream& stream) const {
   const Duration typical = classTokenInterval(stream.start.classIndex);
   const Duration maxSilence = std::max(limits_.minSilence, typical * limits_.silenceFactor);
--- a/src/resume/seal.cpp
+++ b/src/resume/seal.cpp
@@ -33,7 +33,8 @@
 unsigned char* toBytes(std::string& text) { return reinterpret_cast<unsigned char*>(text.data()); }
 
 void requireSuccess(int result) {
-  if (result != 1) throw std::runtime_error("OpenSSL failed to encrypt a resume token with AES-256-GCM");
+  if (result != 1)
+    throw std::runtime_error("OpenSSL failed to generate a nonce or to encrypt the resume token");
 }
 
 bool parseHex(const std::string& text, std::array<unsigned char, 32>& bytes) {
--- a/src/router/attempt_tracker.h
+++ b/src/router/attempt_tracker.h
@@ -1,4 +1,4 @@
-// The calls to engines that are in flight, at most one for each request.
+// Tracks the calls to engines that are in flight, at most one for each request.
 #pragma once
 
 #include <optional>
--- a/src/router/invariant_guard.cpp
+++ b/src/router/invariant_guard.cpp
@@ -109,7 +109,7 @@
   const auto entry = engines_.find(engine);
   if (entry == engines_.end() || entry->second.state != EngineEntry::State::kServing)
     return Violation::kAttemptToDrainingEngine;
-  if (request.firstExecution && !isRepeatWithoutEffect(now, request, entry->second))
+  if (request.firstExecution && !isSafeToRepeat(now, request, entry->second))
     return Violation::kDuplicateEffect;
   return std::nullopt;
 }
@@ -117,8 +117,8 @@
 // Whether a further attempt at `engine` has no second effect: the request's class is idempotent, or the
 // engine shares the record of idempotency keys with the engine of the first execution and drops the
 // duplicate.
-bool InvariantGuard::isRepeatWithoutEffect(Instant now, const TrackedRequest& request,
-                                           const EngineEntry& engine) const {
+bool InvariantGuard::isSafeToRepeat(Instant now, const TrackedRequest& request,
+                                    const EngineEntry& engine) const {
   const ClassSettings& classSettings = classOf(request);
   if (classSettings.idempotency == Idempotency::kIdempotent) return true;
   if (classSettings.idempotency == Idempotency::kAtMostOnce) return false;
--- a/src/router/invariant_guard.h
+++ b/src/router/invariant_guard.h
@@ -75,7 +75,7 @@
 
   std::optional<Violation> violationOfAttempt(Instant now, const TrackedRequest& request,
                                               EngineId engine) const;
-  bool isRepeatWithoutEffect(Instant now, const TrackedRequest& request, const EngineEntry& engine) const;
+  bool isSafeToRepeat(Instant now, const TrackedRequest& request, const EngineEntry& engine) const;
   const ClassSettings& classOf(const TrackedRequest& request) const {
     return classes_.at(request.classIndex);
   }
--- a/src/router/policy_actions.cpp
+++ b/src/router/policy_actions.cpp
@@ -17,13 +17,13 @@
 
 void PolicyActions::operator()(const StartAttempt& action) {
   Request* const request = components_.requests.findByPolicyId(action.id);
-  if (request == nullptr) return block(action, nullptr);
+  if (request == nullptr) return reportBlockedAttempt(action, nullptr);
   CoreContext& context = components_.context;
   const std::optional<Violation> violation =
       context.guard.checkAttempt(context.now, request->key, action.engine);
   components_.log.violation(*request, violation, action.engine, nextPolicyAttempt(*request));
   const std::optional<Role> role = components_.roles.roleOf(action.engine);
-  if (violation || !role || !canStart(*request)) return block(action, request);
+  if (violation || !role || !canStart(*request)) return reportBlockedAttempt(action, request);
   const CallKind kind = *role == Role::kPrefill ? CallKind::kPrefill : CallKind::kDecode;
   if (kind == CallKind::kPrefill && request->continuations == 0)
     components_.continuation.onPrefillStarted(request->payload->promptTokens);
@@ -31,7 +31,7 @@
 }
 
 // Reports the attempt to the policy as not sent. `request` is null if the action names an unknown request.
-void PolicyActions::block(const StartAttempt& action, const Request* request) {
+void PolicyActions::reportBlockedAttempt(const StartAttempt& action, const Request* request) {
   ++components_.context.counters.actionsBlocked;
   AttemptEnded ended;
   ended.id = action.id;
@@ -61,8 +61,8 @@
     components_.releaser.releaseReservation(*request);
     components_.requests.touch(*request);
   } else if (request->stateEngine) {
-    // If the decode call has already reached its engine, the state stays leased there. It is therefore
-    // released again when the request ends.
+    // The release has no effect if the decode call has already reached its engine. The state is therefore
+    // released again after the call has ended.
     components_.releaser.sendStateRelease(*request, "its decode call has no response yet");
   }
 }
--- a/src/router/policy_actions.h
+++ b/src/router/policy_actions.h
@@ -47,7 +47,7 @@
 
  private:
   bool canStart(const Request& request) const;
-  void block(const StartAttempt& action, const Request* request);
+  void reportBlockedAttempt(const StartAttempt& action, const Request* request);
   /// The request with this policy id, or null if there is none or it is completed.
   Request* findOpen(const RequestId& id);
 
--- a/src/router/request_completion.cpp
+++ b/src/router/request_completion.cpp
@@ -82,7 +82,7 @@
   if (request.isCompleted) return;
   if (request.isStreaming) return endStreamAtDeadline(request);
   if (!request.awaitsContinuation) ++context_.counters.actionsBlocked;
-  // A request without any attempt is rejected: the client can safely retry it.
+  // A request without any attempt is rejected instead of failed: the client can safely retry it.
   const bool wasAttempted = request.attemptCount > 0;
   abort(request, wasAttempted ? FinalStatus::kDeadlineExceeded : FinalStatus::kRejected, Outcome::kTimeout,
         kDeadlineReason);
--- a/src/router/settings_compatibility.h
+++ b/src/router/settings_compatibility.h
@@ -6,9 +6,9 @@
 
 namespace gannetcourse::router {
 
-/// Throws IncompatibleSettings if `updated` has fewer classes or tenants than `current`, or if a class of
-/// `current` has another idempotency or deduplication there. Open requests refer to their class and tenant by
-/// index, so an index must keep its meaning.
+/// Throws IncompatibleSettings if `updated` has fewer classes or tenants than `current`, or changes the
+/// idempotency or deduplication of a class. Open requests refer to their class and tenant by index, so an
+/// index must keep its meaning.
 void requireCompatible(const Settings& current, const Settings& updated);
 
 /// Returns `limits` with idempotency, priority weights and maxAttempts taken from `settings`.
--- a/src/router/stream_continuation.h
+++ b/src/router/stream_continuation.h
@@ -29,8 +29,8 @@
   // ---- Running streams ----
   /// The first token of the call's attempt was received.
   void onStreamStarted(Request& request, Call& call);
-  /// A token of the stream is being sent to the client. Buffers its text for a continuation, unless that
-  /// would exceed the limits of the buffer.
+  /// A token of the stream is being sent to the client. Buffers its text for a continuation; if that would
+  /// exceed the limits of the buffer, drops the text, and the stream cannot be continued any more.
   void onToken(Request& request, const std::string& text);
   /// The client has stopped or resumed reading. While it is paused, its stream does not count as silent.
   void onClientPaused(RequestKey request, bool paused);
--- a/tests/core_streams_test.cpp
+++ b/tests/core_streams_test.cpp
@@ -112,13 +112,13 @@
       if (randomBelow(60) == 0) changeEngine();
       if (randomBelow(60) == 0) disconnectOrPauseClient();
       if (randomBelow(400) == 0) reconfigure();
-      for (const CallInFlight& out : dueCalls()) progress(out);
+      for (const CallInFlight& due : dueCalls()) progress(due);
     }
     core_.drain(now());
     for (double end = now_ + 8; now_ < end; now_ += kStepSeconds) {
       core_.advance(now());
       executeCommands();
-      for (const CallInFlight& out : dueCalls()) progress(out);
+      for (const CallInFlight& due : dueCalls()) progress(due);
     }
     const Counters& c = core_.counters();
     digest_.add(std::to_string(c.accepted) + " " + std::to_string(c.resumed) + " " +
@@ -148,17 +148,17 @@
   };
 
   static Settings settingsOf(std::uint32_t seed) {
-    Settings s = test::twoStageSettings();
-    s.seed = seed;
-    s.cancelAllowed = seed % 3 != 0;
-    s.probesAllowed = seed % 2 == 0;
-    s.loadReportSource = seed % 2 == 0 ? LoadReportSource::kProbes : LoadReportSource::kResponses;
-    s.classes.resize(3, s.classes[0]);
-    s.classes[1].idempotency = Idempotency::kIdempotencyKey;
-    s.classes[1].dedupWindow = Duration(1.5);
-    s.classes[2].idempotency = Idempotency::kAtMostOnce;
-    s.classes[2].priorityWeight = 3;
-    return s;
+    Settings settings = test::twoStageSettings();
+    settings.seed = seed;
+    settings.cancelAllowed = seed % 3 != 0;
+    settings.probesAllowed = seed % 2 == 0;
+    settings.loadReportSource = seed % 2 == 0 ? LoadReportSource::kProbes : LoadReportSource::kResponses;
+    settings.classes.resize(3, settings.classes[0]);
+    settings.classes[1].idempotency = Idempotency::kIdempotencyKey;
+    settings.classes[1].dedupWindow = Duration(1.5);
+    settings.classes[2].idempotency = Idempotency::kAtMostOnce;
+    settings.classes[2].priorityWeight = 3;
+    return settings;
   }
 
   static Options optionsOf(std::uint32_t seed) {
@@ -177,29 +177,29 @@
   int randomBelow(int below) { return static_cast<int>(random_() % static_cast<std::uint32_t>(below)); }
 
   void sendRequest() {
-    NewRequest a;
-    a.key = ++lastRequest_;
-    if (randomBelow(5) == 0) a.id = "client-" + std::to_string(a.key);
-    a.timeUntilDeadline = Duration(1 + randomBelow(60) * 0.1);
-    a.deadlineEndsAtFirstToken = randomBelow(8) == 0;
-    a.firstTokenTimeout = Duration(randomBelow(3) == 0 ? 1.5 : 0);
-    a.classIndex = static_cast<std::size_t>(randomBelow(3));
-    a.isRetry = randomBelow(10) == 0;
-    a.sessionKey = 1 + static_cast<std::uint64_t>(randomBelow(20));
-    a.prefixKey = static_cast<std::uint64_t>(randomBelow(4));
+    NewRequest arrival;
+    arrival.key = ++lastRequest_;
+    if (randomBelow(5) == 0) arrival.id = "client-" + std::to_string(arrival.key);
+    arrival.timeUntilDeadline = Duration(1 + randomBelow(60) * 0.1);
+    arrival.deadlineEndsAtFirstToken = randomBelow(8) == 0;
+    arrival.firstTokenTimeout = Duration(randomBelow(3) == 0 ? 1.5 : 0);
+    arrival.classIndex = static_cast<std::size_t>(randomBelow(3));
+    arrival.isRetry = randomBelow(10) == 0;
+    arrival.sessionKey = 1 + static_cast<std::uint64_t>(randomBelow(20));
+    arrival.prefixKey = static_cast<std::uint64_t>(randomBelow(4));
     auto payload = std::make_shared<RequestPayload>();
-    payload->prompt = "p" + std::to_string(a.key);
+    payload->prompt = "p" + std::to_string(arrival.key);
     payload->promptTokens = static_cast<std::uint32_t>(200 + randomBelow(3000));
-    payload->prefixTokens = a.prefixKey == 0 ? 0 : 150;
+    payload->prefixTokens = arrival.prefixKey == 0 ? 0 : 150;
     payload->maxOutputTokens = 60;
-    a.payload = payload;
+    arrival.payload = payload;
     if (randomBelow(12) == 0) {
-      a.resumedStream =
-          ResumedStream{"n-" + std::to_string(1 + randomBelow(static_cast<int>(a.key))), randomBelow(3),
+      arrival.resumedStream =
+          ResumedStream{"n-" + std::to_string(1 + randomBelow(static_cast<int>(arrival.key))), randomBelow(3),
                         EngineId{static_cast<std::uint32_t>(5 + randomBelow(4))},
                         static_cast<std::uint32_t>(randomBelow(9)), "t"};
     }
-    core_.onRequest(now(), std::move(a));
+    core_.onRequest(now(), std::move(arrival));
     executeCommands();
   }
 
@@ -240,8 +240,8 @@
 
   std::vector<CallInFlight> dueCalls() {
     std::vector<CallInFlight> due;
-    for (const auto& [call, out] : callsInFlight_) {
-      if (now_ >= out.dueAt) due.push_back(out);
+    for (const auto& [key, call] : callsInFlight_) {
+      if (now_ >= call.dueAt) due.push_back(call);
     }
     return due;
   }
--- a/tests/orphaned_states_test.cpp
+++ b/tests/orphaned_states_test.cpp
@@ -94,7 +94,8 @@
   EXPECT_EQ(releases.size(), 2U);
 }
 
-TEST_F(OrphanedStatesTest, HasNoPendingObligationsForReleasesWhenDraining) {
+// Releases may be repeated for several seconds; a draining router must not wait for them.
+TEST_F(OrphanedStatesTest, DoesNotDelayDrainForRepeatedReleases) {
   startPrefill(1, kRequest);
   core.drain(at(1.05));
   core.onClientDisconnected(at(1.1), kRequest);
@@ -191,8 +192,8 @@
     if (const auto* const prefill = std::get_if<StartPrefill>(&command)) second = prefill->call;
   }
   ASSERT_NE(second, 0U) << "the prefill must be retried immediately";
-  advanceTo(1.1 +
-            0.95 * kLeaseLimit);  // after the deferral limit of other entries, before the second call ends
+  // Later than the limit of other deferrals, but before the second attempt is cancelled.
+  advanceTo(1.1 + 0.95 * kLeaseLimit);
   EXPECT_EQ(releases, std::vector<double>{});
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_F(RecoveryTest, GivesUpWhenTimeAttemptsContinuationsOrTextAreMissing) {
+TEST_F(RecoveryTest, GivesUpWhenTimeOrAttemptsRunOutOrTextWasNotBuffered) {
   runStream(1, 0, 1);
   LostStream late = lostStream(1);
   late.timeUntilDeadline = Duration(0.3);
@@ -112,7 +112,8 @@
   EXPECT_TRUE(migrated(at(5)).empty());
   recovery.onClientPaused(at(5), 1, false);
   runStream(3, 5, 8);
-  EXPECT_TRUE(migrated(at(5.5)).empty()) << "silence must be counted from the end of the pause";
+  EXPECT_TRUE(migrated(at(5.5)).empty())
+      << "silence counts from the end of the pause, as held-back tokens arrive first";
   EXPECT_EQ(migrated(at(8)), (std::vector<StreamKey>{1, 2}));
 }
 
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -20,8 +20,7 @@
   }
 }
 
-// Nodes of a deployment reload a rotated key file at different times: tokens of the old key must stay valid
-// until it is removed.
+// Keys are rotated in operation: tokens of the old key must stay valid until that key is removed.
 TEST(SealTest, OpensOldTokensUntilTheOldKeyIsRemoved) {
   const Sealer before = Sealer::parse(kOldKey, "keys"), during = Sealer::parse(kNewKey + kOldKey, "keys"),
                after = Sealer::parse(kNewKey, "keys");
