--- a/src/platform/chat_request.cpp
+++ b/src/platform/chat_request.cpp
@@ -21,13 +21,15 @@
 constexpr std::uint64_t kMaxBudgetMs = 3'600'000;
 constexpr std::size_t kMaxIdLength = 128;
 constexpr double kSecondsPerMicrosecond = 1e-6;
-// Clients that state no prompt length: a token has about this many bytes.
+// Bytes per token, to estimate the prompt's length if the client does not state it.
 constexpr std::size_t kBytesPerToken = 4;
 
-constexpr std::array<const char*, 5> kSingleFields = {"X-Call-Id", "X-Call-Class", "X-Route-Hash",
-                                                      "X-Budget-Ms", "X-Call-Info"};
+// Header fields that a request may contain at most once.
+constexpr std::array<const char*, 5> kSingleValuedFields = {"X-Call-Id", "X-Call-Class", "X-Route-Hash",
+                                                            "X-Budget-Ms", "X-Call-Info"};
 
-// Fields that concern one connection only, or that the node states anew for its engines.
+// Header fields that are not copied to the request to the engine: hop-by-hop fields, and fields that the node
+// sets itself.
 constexpr std::array<std::string_view, 14> kFieldsNotForwarded = {
     "Connection",  "Keep-Alive",  "Proxy-Connection",  "Proxy-Authorization",
     "TE",          "Trailer",     "Transfer-Encoding", "Upgrade",
@@ -49,22 +51,22 @@
   });
 }
 
-// The field's value; empty where it is missing.
+// The field's value, or an empty string if the field is missing.
 const std::string& valueOf(const http1::Fields& fields, const char* name) {
   static const std::string kNone;
   const std::string* const value = fields.find(name);
   return value == nullptr ? kNone : *value;
 }
 
-// The number of X-Call-Info with this name; null for unknown names.
-std::uint32_t* infoNumber(router::RequestPayload& payload, std::string_view name) {
+// The payload member that the X-Call-Info parameter `name` sets, or null if the name is unknown.
+std::uint32_t* callInfoMember(router::RequestPayload& payload, std::string_view name) {
   if (name == "prompt_len") return &payload.promptTokens;
   if (name == "prefix_len") return &payload.prefixTokens;
   if (name == "max_out") return &payload.maxOutputTokens;
   return nullptr;
 }
 
-// One NAME=VALUE of X-Call-Info; unknown names are ignored. Returns false where it is malformed.
+// Parses one NAME=VALUE pair of X-Call-Info; ignores unknown names. Returns false if the pair is malformed.
 bool parseInfoPair(std::string_view pair, router::NewRequest& request, router::RequestPayload& payload) {
   const auto equals = pair.find('=');
   if (equals == std::string_view::npos) return false;
@@ -76,14 +78,15 @@
     if (key) request.prefixKey = *key;
     return key.has_value();
   }
-  std::uint32_t* const field = infoNumber(payload, name);
-  if (field == nullptr) return true;
+  std::uint32_t* const member = callInfoMember(payload, name);
+  if (member == nullptr) return true;
   const auto number = parseUnsigned(value, kMaxTokens);
-  if (number) *field = static_cast<std::uint32_t>(*number);
+  if (number) *member = static_cast<std::uint32_t>(*number);
   return number.has_value();
 }
 
-// "prefix=HEX,prompt_len=N,prefix_len=N,max_out=N", any of them. Returns false where one is malformed.
+// Parses X-Call-Info: "prefix=HEX,prompt_len=N,prefix_len=N,max_out=N", each pair optional. Returns false if
+// a pair is malformed.
 bool parseCallInfo(std::string_view text, router::NewRequest& request, router::RequestPayload& payload) {
   while (!text.empty()) {
     const auto comma = std::min(text.size(), text.find(','));
@@ -93,8 +96,8 @@
   return true;
 }
 
-// Whether the comma-separated list names the field.
-bool listNames(std::string_view list, std::string_view field) {
+// Whether the comma-separated `list` contains `field`, ignoring case.
+bool listContains(std::string_view list, std::string_view field) {
   for (std::size_t from = 0; from < list.size();) {
     const std::size_t end = std::min(list.size(), list.find(',', from));
     const std::size_t first = list.find_first_not_of(" \t", from);
@@ -106,23 +109,25 @@
   return false;
 }
 
-// The client's own fields, as lines for the engines: keys and traces of a customer mean something to them,
-// whatever their names are. Fields that the Connection field nominates are not forwarded.
+// The client's header fields as header lines for the request to the engine. Unknown fields are forwarded too,
+// because engines use API keys and trace ids of any name. Fields listed in the Connection field are
+// hop-by-hop and are not forwarded.
 std::string forwardedFields(const http1::Fields& fields) {
-  const std::string& nominated = valueOf(fields, "Connection");
+  const std::string& connectionOptions = valueOf(fields, "Connection");
   std::string lines;
   for (const auto& [name, value] : fields.all()) {
     const auto isSame = [&name = name](std::string_view other) {
       return http1::equalsIgnoreCase(name, other);
     };
     if (std::any_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame)) continue;
-    if (listNames(nominated, name)) continue;
+    if (listContains(connectionOptions, name)) continue;
     lines.append(name).append(": ").append(value).append("\r\n");
   }
   return lines;
 }
 
-// Parses the fields that name the request, its class, tenant, deadline and session.
+// Parses the header fields with the request's id, class, tenant, deadline, session and expected cost.
+// Returns the error to answer with, or nothing if all fields are valid.
 std::optional<RequestError> parseFields(const http1::Fields& fields, const instance::InstanceNames& names,
                                         router::NewRequest& request, router::RequestPayload& payload) {
   request.id = valueOf(fields, "X-Call-Id");
@@ -159,7 +164,7 @@
 
 std::variant<router::NewRequest, RequestError> parseChatRequest(http1::Request& request,
                                                                 const instance::InstanceNames& names) {
-  for (const char* const field : kSingleFields) {
+  for (const char* const field : kSingleValuedFields) {
     if (request.fields.count(field) > 1)
       return RequestError{400, std::string(field) + " comes more than once"};
   }
--- a/src/platform/chat_request.h
+++ b/src/platform/chat_request.h
@@ -1,4 +1,4 @@
-// Parses the chat requests of the platform's clients.
+// Parses the HTTP chat requests that clients send to a node on the platform.
 #pragma once
 
 #include <string>
@@ -10,14 +10,15 @@
 
 namespace gannetcourse::platform {
 
-/// Why a request is answered by the node itself: an HTTP status and one line of text for the client.
+/// An error response that the node sends without passing the request to the core: the HTTP status and one
+/// line of text for the client.
 struct RequestError {
   int status = 400;
   std::string reason;
 };
 
-/// Parses a request, its id included; the key is left to the caller. Takes the body and the target out of
-/// `request` where it succeeds.
+/// Parses the header fields and the body of a request. The caller has to set the result's `key`. On success,
+/// the body and the target are moved out of `request`.
 std::variant<router::NewRequest, RequestError> parseChatRequest(http1::Request& request,
                                                                 const instance::InstanceNames& names);
 
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -13,21 +13,24 @@
 
 using instance::Json;
 
-// Descriptors for other things: standard streams, epoll, signals, the listener, discovery, logs.
+// File descriptors that are not available for clients and engines: standard streams, epoll, signals, the
+// listener, discovery and logs.
 constexpr std::size_t kReservedDescriptors = 24;
 constexpr std::size_t kMinSockets = 64, kMaxSockets = 1U << 20, kDefaultSockets = 1024;
 constexpr double kMinMemoryMb = 16, kDefaultMemoryMb = 192;
 constexpr double kDefaultIdleSeconds = 15, kDefaultConnectSeconds = 0.25;
 constexpr std::uint64_t kBytesPerMb = 1024 * 1024;
-constexpr std::size_t kClientConnectionPercent = 55;  // of the descriptors; the rest is for engines
+constexpr std::size_t kClientConnectionPercent = 55;  // of the available descriptors; the rest is for engines
 constexpr std::size_t kOpenRequestPercent = 95;       // of the connections to engines
-constexpr std::uint64_t kBufferedShareOfMemory = 4;   // a quarter
+constexpr std::uint64_t kBufferMemoryDivisor = 4;     // a quarter of the memory may hold requests
 
 net::Endpoint parseEndpointField(const Json& file, const char* key) {
   const std::string value = instance::requireString(file, key);
   const auto parsed = net::parseEndpoint(value);
   if (!parsed)
-    throw instance::MalformedInput("field '" + std::string(key) + "' is no a.b.c.d:port: '" + value + "'");
+    throw instance::MalformedInput("field '" + std::string(key) +
+                                   "' must be an IPv4 address and port (a.b.c.d:port), but is '" + value +
+                                   "'");
   return *parsed;
 }
 
@@ -36,19 +39,19 @@
   configuration.memoryLimitMb = static_cast<std::uint64_t>(std::max(kMinMemoryMb, memoryMb));
   configuration.socketLimit = instance::unsignedOr(limits, "sockets", kDefaultSockets, kMaxSockets);
   if (configuration.socketLimit < kMinSockets)
-    throw instance::MalformedInput("field 'sockets' is below the 64 that a node needs");
+    throw instance::MalformedInput("field 'sockets' must be at least 64 file descriptors");
 }
 
 void parseConnectionTimeouts(const Json& limits, Configuration& configuration) {
   configuration.engineIdleTimeout = instance::secondsOr(limits, "connIdleS", kDefaultIdleSeconds);
   configuration.engineConnectTimeout = instance::secondsOr(limits, "connectTimeoutS", kDefaultConnectSeconds);
   if (configuration.engineIdleTimeout.count() <= 0 || configuration.engineConnectTimeout.count() <= 0)
-    throw instance::MalformedInput("fields 'connIdleS' and 'connectTimeoutS' must be above 0");
+    throw instance::MalformedInput("fields 'connIdleS' and 'connectTimeoutS' must be greater than 0 s");
 }
 
-// Throws instance::MalformedInput.
+// Parses the file's JSON value. Throws instance::MalformedInput if a field is missing or invalid.
 Configuration parseConfiguration(const Json& file) {
-  if (!file.is_object()) throw instance::MalformedInput("the configuration is not a JSON object");
+  if (!file.is_object()) throw instance::MalformedInput("the configuration must be a JSON object");
   Configuration configuration;
   configuration.name = instance::requireString(file, "name");
   configuration.listenEndpoint = parseEndpointField(file, "listen");
@@ -59,15 +62,16 @@
   const std::uint64_t seed = instance::hexKeyOrZero(file, "seed");
   configuration.policySettings = instance::readSettings(settings, seed, configuration.names);
   if (configuration.policySettings.classes.empty())
-    throw instance::MalformedInput("field 'classes' names no class");
+    throw instance::MalformedInput("field 'classes' must contain at least one class");
   parseConnectionTimeouts(instance::objectOrEmpty(settings, "limits"), configuration);
   const Json* const known = instance::findField(file, "known");
   if (known != nullptr) configuration.knownEngineList = *known;
   return configuration;
 }
 
-// Errors of open() that are due to the state of this machine, not to the file.
-bool isShortage(int error) {
+// Whether an error of open() is temporary (a lack of descriptors or memory, or an interruption) and says
+// nothing about the file.
+bool isTransientOpenError(int error) {
   return error == EMFILE || error == ENFILE || error == ENOMEM || error == EINTR || error == EAGAIN;
 }
 
@@ -76,17 +80,19 @@
 Configuration loadConfiguration(const std::string& path) {
   errno = 0;
   std::ifstream in(path);
-  if (!in.is_open() && isShortage(errno))
-    throw std::system_error(errno, std::generic_category(), path + ": cannot be opened");
+  if (!in.is_open() && isTransientOpenError(errno))
+    throw std::system_error(errno, std::generic_category(), path + ": cannot open the configuration file");
   std::ostringstream text;
   text << in.rdbuf();
-  if (!in) throw ConfigurationError(path + ": cannot be read; NODE_CONFIG must name a file");
+  if (!in)
+    throw ConfigurationError(
+        path + ": cannot read the configuration file; NODE_CONFIG must be the path of a readable file");
   try {
     return parseConfiguration(Json::parse(text.str()));
   } catch (const Json::parse_error& error) {
     throw IncompleteConfiguration(path + ": not valid JSON: " + error.what());
   } catch (const Json::exception& error) {
-    throw ConfigurationError(path + ": cannot be used: " + error.what());
+    throw ConfigurationError(path + ": invalid configuration: " + error.what());
   } catch (const instance::MalformedInput& error) {
     throw ConfigurationError(path + ": " + error.what());
   }
@@ -95,7 +101,7 @@
 std::string configurationPathFromEnvironment() {
   const char* const path = std::getenv("NODE_CONFIG");
   if (path == nullptr || *path == '\0')
-    throw ConfigurationError("NODE_CONFIG is not set; it must name the node's configuration");
+    throw ConfigurationError("NODE_CONFIG is not set; it must be the path of the node's configuration file");
   return path;
 }
 
@@ -105,7 +111,7 @@
   limits.maxClientConnections = available * kClientConnectionPercent / 100;
   limits.maxEngineConnections = available - limits.maxClientConnections;
   limits.maxOpenRequests = limits.maxEngineConnections * kOpenRequestPercent / 100;
-  limits.maxBufferedBytes = configuration.memoryLimitMb * kBytesPerMb / kBufferedShareOfMemory;
+  limits.maxBufferedBytes = configuration.memoryLimitMb * kBytesPerMb / kBufferMemoryDivisor;
   return limits;
 }
 
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -1,4 +1,5 @@
-// The platform's configuration of one node: the JSON file that NODE_CONFIG names.
+// The platform's configuration of one node: the JSON file whose path is in the environment variable
+// NODE_CONFIG.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +12,48 @@
 
 namespace gannetcourse::platform {
 
-/// One node's configuration.
+/// One node's configuration, parsed and validated.
 struct Configuration {
   std::string name;
   net::Endpoint listenEndpoint, discoveryEndpoint;
-  std::uint64_t memoryLimitMb = 192;  ///< MiB.
-  std::size_t socketLimit = 1024;     ///< Descriptors that the process may hold.
+  std::uint64_t memoryLimitMb = 192;  ///< In MiB; at least 16.
+  std::size_t socketLimit = 1024;     ///< File descriptors that the process may have open; at least 64.
   Settings policySettings;
   instance::InstanceNames names;
-  Duration engineIdleTimeout{15};       ///< After it, engines close an idle connection.
-  Duration engineConnectTimeout{0.25};  ///< For a connection to an engine to come up.
-  instance::Json knownEngineList;       ///< The engine list as last known; null = none.
+  Duration engineIdleTimeout{15};       ///< Engines close a connection that was idle for this long.
+  Duration engineConnectTimeout{0.25};  ///< Limit for establishing a connection to an engine.
+  instance::Json knownEngineList;       ///< The engine list to start with, maybe outdated; null = none.
 };
 
-/// The file cannot be used; one line names the file, the field and the remedy.
+/// The configuration file cannot be read or is invalid. what() is one line with the file, the field and what
+/// is expected.
 class ConfigurationError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// The file is no valid JSON: it may still be being written.
+/// The file is not valid JSON. Another process may still be writing it, so loading it again may succeed.
 class IncompleteConfiguration : public ConfigurationError {
  public:
   using ConfigurationError::ConfigurationError;
 };
 
-/// Loads the file. Throws ConfigurationError, or std::system_error where this machine is short of something
-/// that opening a file needs, which may pass.
+/// Loads and validates the file. Throws ConfigurationError, or std::system_error if the file cannot be opened
+/// for a temporary reason, such as a lack of descriptors or memory.
 Configuration loadConfiguration(const std::string& path);
 
-/// The path in NODE_CONFIG. Throws ConfigurationError where the variable is missing.
+/// The path in NODE_CONFIG. Throws ConfigurationError if the variable is missing or empty.
 std::string configurationPathFromEnvironment();
 
-/// How many of each thing a node may hold.
+/// Limits on the node's connections, open requests and buffers.
 struct NodeLimits {
   std::size_t maxClientConnections = 0;
-  std::size_t maxEngineConnections = 0;  ///< More than open requests: some are kept, and releases need some.
+  std::size_t maxEngineConnections = 0;  ///< Above maxOpenRequests, for idle connections and releases.
   std::size_t maxOpenRequests = 0;
-  std::uint64_t maxBufferedBytes = 0;  ///< Of requests, complete or not.
+  std::uint64_t maxBufferedBytes = 0;  ///< Of request bodies and headers, including incomplete requests.
 };
 
-/// Derives the node's limits from those of its process.
+/// Derives the node's limits from the descriptors and the memory that the process may use.
 NodeLimits limitsOf(const Configuration& configuration);
 
 }  // namespace gannetcourse::platform
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -9,18 +9,18 @@
 namespace gannetcourse::platform {
 namespace {
 
-// Discovery sends an empty line every 2 s, and a change must reach this node within 6 s of discovery knowing
-// it. A stream without activity for kSilenceLimit gets a replacement, which is renewed every
-// kReplacementTimeout until either delivers.
+// Discovery sends an empty line every 2 s as a keep-alive, and the node must receive a change within 6 s
+// after discovery learned of it. If a stream is silent for kSilenceLimit, a replacement is opened; it is
+// reopened every kReplacementTimeout until one of the two streams delivers.
 const Duration kSilenceLimit{2.8}, kReplacementTimeout{2.5}, kLivenessInterval{0.2};
 
-// Backoff before a stream that ended or was rejected is opened again. A stream that delivered for
-// kStableStreamAge resets it.
+// Backoff before a stream that ended or was rejected is reopened. It doubles up to kMaxBackoff, and is set to
+// kResetBackoff once a stream is active for longer than kStableStreamAge.
 const Duration kInitialBackoff{0.1}, kResetBackoff{0.2}, kMaxBackoff{0.5}, kStableStreamAge{2};
 
 http1::ClientOptions watchOptions() {
   http1::ClientOptions options;
-  options.limits.maxBodyBytes = 0;  // a stream has no bound
+  options.limits.maxBodyBytes = 0;  // no limit: the response is an endless stream
   options.maxConnections = 2;
   options.connectTimeout = Duration(0.5);
   return options;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// One response of discovery. Its owner is null once it is closed: what comes after that is dropped.
+/// One streamed response of discovery. close() sets `watch_` to null; data received after that is ignored.
 class DiscoveryWatch::Stream final : public http1::ResponseHandler,
                                      public std::enable_shared_from_this<DiscoveryWatch::Stream> {
  public:
@@ -47,7 +47,7 @@
   void onHead(const http1::ResponseHead& head) override { statusOk_ = head.status == 200; }
 
   void onBody(std::string_view bytes) override {
-    const std::shared_ptr<Stream> self = shared_from_this();  // the watch may drop this stream meanwhile
+    const std::shared_ptr<Stream> self = shared_from_this();  // the watch may release this stream
     if (watch_ == nullptr || !statusOk_) return;
     const bool alive = splitter_.feed(bytes, [this](const std::string& object) { onObject(object); });
     if (alive && watch_ != nullptr) watch_->onActivity(*this);
@@ -118,7 +118,8 @@
   });
 }
 
-// Becomes the active stream where there is none, else the replacement, in place of an earlier one.
+// Opens a stream. It is the active one if there is none, otherwise the replacement; an earlier replacement is
+// closed.
 void DiscoveryWatch::openStream() {
   loop_.cancelTimer(std::exchange(reopenTimer_, 0));
   if (replacement_) replacement_->close();
@@ -132,8 +133,8 @@
       endpoint_, [head = std::move(head)] { return head; }, nullptr, stream));
 }
 
-// The stream that delivers is kept; the other one has been silent for longer and is closed. An active stream
-// that is to be replaced stays until its replacement delivers.
+// Keeps the stream that delivered and closes the other one, which has been silent for longer. Exception:
+// while the active stream is being replaced on purpose, its deliveries do not close the replacement.
 void DiscoveryWatch::onActivity(Stream& stream) {
   stream.recordActivity(loop_.now());
   if (log_ && silenceLogged_) {
--- a/src/platform/discovery_watch.h
+++ b/src/platform/discovery_watch.h
@@ -1,4 +1,5 @@
-// The watch on the platform's discovery: a long poll that is opened again whenever it ends or falls silent.
+// The watch on the platform's discovery: a long poll that is reopened when it ends or receives nothing for
+// too long.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +13,8 @@
 
 namespace gannetcourse::platform {
 
-/// Delivers the JSON objects of discovery's watch. The open stream counts as alive only while bytes prove it:
-/// where they do not, a second stream is opened beside it, and whichever delivers first is kept. At most two
+/// Delivers the JSON objects that discovery sends on its watch. If the open stream delivers nothing for
+/// 2.8 s, a second stream is opened in parallel, and the one that delivers first is kept. Uses at most two
 /// connections at a time.
 ///
 /// Not thread-safe; everything runs on the loop, which must outlive the watch.
@@ -22,22 +23,23 @@
   using ObjectHandler = std::function<void(const std::string& object)>;
   using LogHandler = std::function<void(const std::string& text)>;
 
-  /// Opens the watch at `endpoint`, from version `resumeIndex` of the list. `seed` is for the jitter of
-  /// retries; `log` may be null.
+  /// Opens the watch at `endpoint`, resuming from version `resumeIndex` of the list. `seed` seeds the jitter
+  /// of the backoff; `log` may be null.
   DiscoveryWatch(net::Loop& loop, const net::Endpoint& endpoint, std::uint64_t resumeIndex,
                  std::uint64_t seed, ObjectHandler onObject, LogHandler log = nullptr);
   ~DiscoveryWatch();
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  /// The version of the list from which the next stream resumes.
+  /// Sets the version of the list from which the next stream resumes.
   void setResumeIndex(std::uint64_t index) { resumeIndex_ = index; }
-  /// Moves the watch. The open stream is used until the new endpoint delivers.
+  /// Opens the watch at another endpoint. The old stream is used until the new one delivers.
   void changeEndpoint(const net::Endpoint& endpoint);
-  /// Something that came could not be used: the next stream, soon, starts with a snapshot.
+  /// Requests a snapshot because a received object could not be used: opens a new stream from index 0 after a
+  /// short backoff.
   void requestSnapshot();
 
-  std::uint64_t watchesOpened() const { return watchesOpened_; }        ///< Streams since the start.
+  std::uint64_t watchesOpened() const { return watchesOpened_; }        ///< Streams opened so far.
   std::uint64_t snapshotRequests() const { return snapshotRequests_; }  ///< Calls of requestSnapshot().
 
  private:
@@ -55,9 +57,9 @@
   ObjectHandler onObject_;
   LogHandler log_;
   http1::Client client_;
-  std::shared_ptr<Stream> active_, replacement_;  // no replacement without an active one
+  std::shared_ptr<Stream> active_, replacement_;  // replacement_ is set only while active_ is set
   bool snapshotRequested_ = false;
-  bool replacingActive_ = false;  // the active one is to go even though it still delivers
+  bool replacingActive_ = false;  // active_ is to be replaced even if it still delivers
   bool silenceLogged_ = false;
   std::uint64_t watchesOpened_ = 0, snapshotRequests_ = 0;
   Duration backoff_;
--- a/src/platform/engine_attempt.cpp
+++ b/src/platform/engine_attempt.cpp
@@ -5,12 +5,12 @@
 namespace gannetcourse::platform {
 namespace {
 
-// A stream without bytes for this long is broken, whatever became of its engine: its client must not wait
-// longer than 5 s after the last event.
+// A stream that receives no bytes for this long is treated as broken: its client must not wait longer than
+// 5 s after the last event.
 const Duration kSilenceLimit{4};
-const Duration kEventTimeout{2};         // for an event, from its first byte to its last
-const Duration kEndTimeout{2};           // for the end of a stream, after its last event
-const Duration kStatusBodyTimeout{0.1};  // for the body of a status that ends its attempt
+const Duration kEventTimeout{2};         // limit from an event's first byte to its last
+const Duration kEndTimeout{2};           // limit for the end of the stream after the [DONE] event
+const Duration kStatusBodyTimeout{0.1};  // limit for the body if the status alone ends the attempt
 
 }  // namespace
 
@@ -22,24 +22,24 @@
       key_(key),
       engine_(engine),
       response_(kind),
-      lastHeardAt_(loop.now()) {}
+      lastActivityAt_(loop.now()) {}
 
 void EngineAttempt::cancel() {
-  over_ = true;
+  ended_ = true;
   client_.cancel(call_);
 }
 
 void EngineAttempt::pause(bool paused) {
   paused_ = paused;
-  lastHeardAt_ = loop_.now();
-  response_.restartPartialEvent(lastHeardAt_);
+  lastActivityAt_ = loop_.now();
+  response_.restartPartialEvent(lastActivityAt_);
   client_.pauseReading(call_, paused);
 }
 
 bool EngineAttempt::isStalled(Instant now) const {
   if (paused_ || !streamHasBegun()) return false;
   const Duration limit = response_.streamIsComplete() ? kEndTimeout : kSilenceLimit;
-  return now - lastHeardAt_ > limit || eventIsOverdue(now);
+  return now - lastActivityAt_ > limit || eventIsOverdue(now);
 }
 
 bool EngineAttempt::eventIsOverdue(Instant now) const {
@@ -47,37 +47,37 @@
   return since && now - *since > kEventTimeout;
 }
 
-void EngineAttempt::endStalled(Instant now) {
+void EngineAttempt::abandonStalled(Instant now) {
   if (eventIsOverdue(now)) {
-    giveUp(Outcome::kError, "an event does not end");
+    abandon(Outcome::kError, "an event does not end");
   } else {
-    giveUp(Outcome::kReset, "silent");
+    abandon(Outcome::kReset, "silent");
   }
 }
 
 void EngineAttempt::onHead(const http1::ResponseHead& head) {
   recordActivity();
   response_.onHead(head);
-  if (response_.endedByStatus()) endWithoutBody();
+  if (response_.endedByStatus()) endAfterStatusBody();
 }
 
 void EngineAttempt::onBody(std::string_view bytes) {
   recordActivity();
-  const std::shared_ptr<EngineAttempt> self = shared_from_this();  // an event may lead to its cancellation
-  if (over_) return;
+  const std::shared_ptr<EngineAttempt> self = shared_from_this();  // an event may cancel this attempt
+  if (ended_) return;
   const bool readable =
-      response_.onBody(bytes, lastHeardAt_, [this](std::string event) { deliverEvent(std::move(event)); });
-  if (!readable && !over_) giveUp(Outcome::kError, "its events cannot be read");
+      response_.onBody(bytes, lastActivityAt_, [this](std::string event) { deliverEvent(std::move(event)); });
+  if (!readable && !ended_) abandon(Outcome::kError, "its events cannot be read");
 }
 
 void EngineAttempt::onEnd(http1::CallResult result, const std::string& reason) {
   const std::shared_ptr<EngineAttempt> self = shared_from_this();
-  if (over_) return;
+  if (ended_) return;
   const AttemptResult attemptResult = resultOfEnd(result, reason);
-  if (!over_) finish(attemptResult);
+  if (!ended_) finish(attemptResult);
 }
 
-// A status that ends the attempt counts even if its body did not come in full.
+// A status that ends the attempt determines the result even if the body is incomplete.
 AttemptResult EngineAttempt::resultOfEnd(http1::CallResult result, const std::string& reason) {
   if (result != http1::CallResult::kComplete && !response_.endedByStatus()) {
     const auto end = result == http1::CallResult::kMalformed ? recovery::AttemptEnd::kAbandoned
@@ -89,31 +89,32 @@
 }
 
 void EngineAttempt::recordActivity() {
-  lastHeardAt_ = loop_.now();
+  lastActivityAt_ = loop_.now();
   owner_.onEngineActivity(engine_);
 }
 
 void EngineAttempt::deliverEvent(std::string event) {
-  if (!over_) owner_.onEvent(key_, nextEvent_++, std::move(event));
+  if (!ended_) owner_.onEvent(key_, nextEvent_++, std::move(event));
 }
 
-void EngineAttempt::giveUp(Outcome outcome, const std::string& reason) {
+void EngineAttempt::abandon(Outcome outcome, const std::string& reason) {
   client_.cancel(call_);
   finish(response_.resultOf(outcome, reason, recovery::AttemptEnd::kAbandoned));
 }
 
-// Waits a moment for the body, so that the connection can be used again.
-void EngineAttempt::endWithoutBody() {
+// Ends the attempt after kStatusBodyTimeout unless the body is complete before. The connection can be reused
+// only after the complete body was read.
+void EngineAttempt::endAfterStatusBody() {
   loop_.runAfter(kStatusBodyTimeout, [weak = weak_from_this()] {
     const std::shared_ptr<EngineAttempt> self = weak.lock();
-    if (!self || self->over_) return;
+    if (!self || self->ended_) return;
     self->client_.cancel(self->call_);
     self->finish(self->response_.resultOfStatus());
   });
 }
 
 void EngineAttempt::finish(const AttemptResult& result) {
-  over_ = true;
+  ended_ = true;
   owner_.onAttemptEnded(key_, result);
 }
 
--- a/src/platform/engine_attempt.h
+++ b/src/platform/engine_attempt.h
@@ -1,4 +1,5 @@
-// One attempt at an engine: its call, its response, and the clocks that end a response which stalls.
+// One attempt at an engine: its HTTP call, the decoder of its response, and the time limits for stalled
+// streams.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +13,20 @@
 
 namespace gannetcourse::platform {
 
-/// An attempt reports its tokens and its one result to its owner. Nothing is reported once it is over.
-/// Created by make_shared: the HTTP client shares it while the call is open.
+/// Reports the attempt's events and its single result to its owner; reports nothing after the attempt has
+/// ended. Must be created with make_shared, because the HTTP client shares it while the call is open.
 class EngineAttempt final : public http1::ResponseHandler,
                             public std::enable_shared_from_this<EngineAttempt> {
  public:
-  /// Receives what the attempt reports; outlives it, or detaches it first.
+  /// Receives the attempt's reports. Must outlive the attempt or call detach() before its own destruction.
   class Owner {
    public:
     virtual ~Owner() = default;
-    /// Something came from the engine.
+    /// Response bytes were received from the engine.
     virtual void onEngineActivity(EngineId engine) = 0;
-    /// An event of the stream; `index` counts from 0.
+    /// A complete event of the stream was received; `index` counts from 0.
     virtual void onEvent(router::CallKey key, std::uint32_t index, std::string event) = 0;
-    /// The attempt is over.
+    /// The attempt has ended; called at most once.
     virtual void onAttemptEnded(router::CallKey key, const AttemptResult& result) = 0;
   };
 
@@ -34,21 +35,21 @@
 
   void setCall(http1::CallId call) { call_ = call; }
   EngineId engine() const { return engine_; }
-  bool isOver() const { return over_; }
+  bool hasEnded() const { return ended_; }
 
-  /// Ends it without a report: the core has cancelled it. Closes its connection.
+  /// Cancels the call without a report to the owner and closes its connection.
   void cancel();
-  /// Ends it without a report and leaves its call alone: its owner and the client end.
-  void detach() { over_ = true; }
-  /// Stops or resumes reading, for a client that takes nothing. The time that this takes does not count as
-  /// the engine's.
+  /// Stops all reports to the owner without cancelling the call. For the owner's destructor.
+  void detach() { ended_ = true; }
+  /// Pauses or resumes reading, for flow control when the client reads too slowly. Time limits of the engine
+  /// restart at each call.
   void pause(bool paused);
 
-  /// Whether its stream has stalled, though no error has come: the engine is silent, or an event does not
-  /// end.
+  /// Whether the stream is stalled without an error: the engine sent nothing for too long, or an event is
+  /// incomplete for too long.
   bool isStalled(Instant now) const;
-  /// Ends a stalled attempt and reports it.
-  void endStalled(Instant now);
+  /// Cancels the call of a stalled attempt and reports the result.
+  void abandonStalled(Instant now);
 
   void onHead(const http1::ResponseHead& head) override;
   void onBody(std::string_view bytes) override;
@@ -59,8 +60,8 @@
   bool streamHasBegun() const { return response_.isStream() && nextEvent_ > 0; }
   bool eventIsOverdue(Instant now) const;
   void deliverEvent(std::string event);
-  void giveUp(Outcome outcome, const std::string& reason);
-  void endWithoutBody();
+  void abandon(Outcome outcome, const std::string& reason);
+  void endAfterStatusBody();
   AttemptResult resultOfEnd(http1::CallResult result, const std::string& reason);
   void finish(const AttemptResult& result);
 
@@ -71,8 +72,8 @@
   const EngineId engine_;
   http1::CallId call_ = 0;
   EngineResponseDecoder response_;
-  Instant lastHeardAt_;
-  bool over_ = false, paused_ = false;
+  Instant lastActivityAt_;
+  bool ended_ = false, paused_ = false;
   std::uint32_t nextEvent_ = 0;
 };
 
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -13,10 +13,11 @@
 
 constexpr int kStatusOk = 200;
 const Duration kSweepInterval{0.5};
-const Duration kRemovedEngineRetention{30};  // a removed engine's record, for its streams and for releases
+// The record of a removed engine is kept this long, for its open streams and for releases.
+const Duration kRemovedEngineRetention{30};
 
-// Makes the head of an attempt when its connection stands: the budget is what is left at the send, not at the
-// decision, because a connection may take its time to come up.
+// Returns a function that builds the request head when the connection is established. X-Budget-Ms is thus the
+// time left when the request is sent, not when the call was started: connecting may take long.
 http1::Client::HeadMaker attemptHead(net::Loop& loop, const net::Endpoint& to, const std::string& id,
                                      Duration timeout,
                                      const std::shared_ptr<const router::RequestPayload>& payload) {
@@ -78,8 +79,8 @@
   client_.restoreEndpoint(engine.address);
 }
 
-// Calls that were decided before the engine was drained or removed, and have not left, must not go there.
-// `addressReused`: a serving engine has come up at its address, whose connections must stay.
+// Cancels calls to a draining or removed engine that were started but not yet sent. `addressReused`: a
+// serving engine has the same address, so its calls and connections must be kept.
 void EngineClient::stopUsing(EngineRecord& engine, bool addressReused) {
   if (!engine.unsentCallsCancelled) {
     engine.unsentCallsCancelled = true;
@@ -98,13 +99,15 @@
   return addresses;
 }
 
-void EngineClient::forgetRemovedEngines() {
+// Erases the records of engines that were removed more than kRemovedEngineRetention ago and have no open
+// attempt.
+void EngineClient::eraseRemovedEngines() {
   const Instant now = loop_.now();
   std::erase_if(engines_, [&](const auto& entry) {
     const auto& [id, engine] = entry;
     const bool expired = engine.removed && now - engine.removedAt > kRemovedEngineRetention;
     if (!expired || hasOpenAttempt(id)) return false;
-    client_.restoreEndpoint(engine.address);  // it may be another engine's by now
+    client_.restoreEndpoint(engine.address);  // another engine may have the address by now
     return true;
   });
 }
@@ -155,7 +158,7 @@
 
 void EngineClient::onEngineActivity(EngineId engine) {
   const auto it = engines_.find(engine);
-  if (it != engines_.end()) it->second.lastHeardAt = loop_.now();
+  if (it != engines_.end()) it->second.lastActivityAt = loop_.now();
 }
 
 void EngineClient::onEvent(router::CallKey key, std::uint32_t index, std::string event) {
@@ -173,11 +176,11 @@
 
 void EngineClient::sweep() {
   endStalledAttempts();
-  forgetRemovedEngines();
+  eraseRemovedEngines();
   sweepTimer_ = loop_.runAfter(kSweepInterval, [this] { sweep(); });
 }
 
-// Ending one attempt may end, pause or start others: the stalled ones are collected first.
+// Collects the stalled attempts first, because ending one may add, end or pause others in `attempts_`.
 void EngineClient::endStalledAttempts() {
   const Instant now = loop_.now();
   std::vector<std::shared_ptr<EngineAttempt>> stalled;
@@ -185,7 +188,7 @@
     if (attempt->isStalled(now)) stalled.push_back(attempt);
   }
   for (const auto& attempt : stalled) {
-    if (!attempt->isOver()) attempt->endStalled(now);
+    if (!attempt->hasEnded()) attempt->abandonStalled(now);
   }
 }
 
--- a/src/platform/engine_client.h
+++ b/src/platform/engine_client.h
@@ -1,5 +1,5 @@
-// The engine client on the platform's protocol: executes the core's commands that concern engines and reports
-// how each ended. Makes no decision and repeats nothing by itself.
+// The engine client for the platform's HTTP protocol: executes the core's commands for engines and reports
+// the result of each. Makes no routing decisions and does not retry attempts.
 #pragma once
 
 #include <cstdint>
@@ -27,11 +27,11 @@
   EngineClient(const EngineClient&) = delete;
   EngineClient& operator=(const EngineClient&) = delete;
 
-  /// Updates the engine table. Calls that have not left for an engine which no longer takes work are
-  /// cancelled.
+  /// Updates the engine table. Cancels calls that are not yet sent if their engine is now draining or
+  /// removed.
   void applyEngineList(const EngineListMessage& list);
   void setConnectionOptions(const http1::ClientOptions& options) { client_.setOptions(options); }
-  /// How long a state may stay unused at an engine; 0 = no limit.
+  /// How long an engine keeps an unused state; 0 = no limit.
   void setStateLeaseLimit(Duration limit) { releases_.setStateLeaseLimit(limit); }
   void setReleaseLog(ReleaseDispatcher::Log log) { releases_.setLog(std::move(log)); }
 
@@ -41,12 +41,13 @@
   void cancelCall(router::CallKey call) override;
   void reserve(const router::ReserveCapacity& reservation) override;
   void releaseState(const router::ReleaseState& release) override;
-  /// The protocol has no fencing: streams do not continue at another engine.
+  /// Does nothing: the protocol has no fencing. Streams are not continued at another engine, so none is
+  /// needed.
   void fenceAttempt(const router::FenceAttempt&) override {}
-  /// The protocol has no probes: each is answered as not sent.
+  /// The protocol has no probes: reports each as not sent.
   void probe(EngineId engine) override;
   void pauseStream(router::CallKey call, bool paused) override;
-  std::size_t auxiliaryCalls() const override { return releases_.awaitedByShutdown(); }
+  std::size_t auxiliaryCalls() const override { return releases_.releasesBlockingShutdown(); }
 
   // ---- For the node's statistics ----
   std::size_t knownEngineCount() const { return engines_.size(); }
@@ -59,7 +60,7 @@
   const ReleaseDispatcher& releases() const { return releases_; }
 
  private:
-  /// What an attempt is started with.
+  /// Parameters of an attempt. The references are valid only during startAttempt().
   struct AttemptStart {
     router::CallKey call = 0;
     EngineId engine;
@@ -80,7 +81,7 @@
   void startAttempt(const AttemptStart& start);
   void sweep();
   void endStalledAttempts();
-  void forgetRemovedEngines();
+  void eraseRemovedEngines();
   bool hasOpenAttempt(EngineId engine) const;
 
   net::Loop& loop_;
@@ -88,9 +89,9 @@
   engines::EngineEventHandler& handler_;
   EngineTable engines_;
   ReleaseDispatcher releases_;
-  std::unordered_map<router::CallKey, std::shared_ptr<EngineAttempt>> attempts_;  // that are open
+  std::unordered_map<router::CallKey, std::shared_ptr<EngineAttempt>> attempts_;  // the open ones
   net::TimerId sweepTimer_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for callbacks that may outlive this
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false after destruction; for late callbacks
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engine_list_message.cpp
+++ b/src/platform/engine_list_message.cpp
@@ -7,7 +7,7 @@
 
 using instance::Json;
 
-// A discovery that sends only older lists for this long has started to count anew.
+// If discovery sends only lists with lower indices for this long, it has restarted and counts from the start.
 const Duration kStaleLimit{2};
 
 EngineEntry::State stateOf(const std::string& status) {
@@ -16,7 +16,8 @@
   return EngineEntry::State::kServing;
 }
 
-// Reads what an engine must state before it can be sent work. Throws instance::MalformedInput.
+// Parses the fields that an engine needs before it can get work: address, kind, zone, cell and start time.
+// Throws instance::MalformedInput.
 void parseDescription(EngineListMessageEntry& engine, const Json& object,
                       const instance::InstanceNames& names, const net::WallClock& clock) {
   engine.address = net::parseEndpoint(instance::stringOr(object, "address", ""));
@@ -27,9 +28,9 @@
   engine.entry.startedAt = clock.instant(startedAtMs);
 }
 
-// Returns nothing where the entry does not allow to send work to its engine. A drain or removal counts even
-// if the rest of the entry is malformed: ignoring it would mean to keep sending. Throws
-// instance::MalformedInput.
+// Parses one entry. Returns nothing if it is not an object, or if it is for a serving engine without an
+// address. A drain or removal is accepted even if its description is malformed, because otherwise the node
+// would go on sending requests to the engine. Throws instance::MalformedInput.
 std::optional<EngineListMessageEntry> parseEntry(const Json& object, const instance::InstanceNames& names,
                                                  const net::WallClock& clock) {
   if (!object.is_object()) return std::nullopt;
@@ -55,8 +56,8 @@
   return update;
 }
 
-// FNV-1a, 32 bits. The preferred engines of sessions are derived from these numbers: nodes of all versions
-// must agree on them, and another hash would move every session.
+// FNV-1a, 32 bits. The preferred engines of sessions are derived from these ids, so all versions of the node
+// must compute the same ones; another hash would move every session to another engine.
 EngineId engineIdOf(const std::string& name) {
   constexpr std::uint32_t kOffsetBasis = 2166136261U;
   constexpr std::uint32_t kPrime = 16777619U;
--- a/src/platform/engine_list_message.h
+++ b/src/platform/engine_list_message.h
@@ -1,4 +1,4 @@
-// The messages of the platform's discovery: the engine list, in full or in part, as JSON objects.
+// The messages of the platform's discovery: snapshots and deltas of the engine list, as JSON objects.
 #pragma once
 
 #include <cstdint>
@@ -12,52 +12,53 @@
 
 namespace gannetcourse::platform {
 
-/// One engine of a message.
+/// One engine of a discovery message.
 struct EngineListMessageEntry {
   EngineEntry entry;
   std::optional<net::Endpoint> address;  ///< May be absent for an engine that is draining or removed.
 };
 
-/// One message of discovery.
+/// One discovery message.
 struct EngineListMessage {
-  std::uint64_t index = 0;  ///< Version of the list; discovery counts it up.
-  bool isSnapshot = false;  ///< The complete list, else only the entries that have changed.
+  std::uint64_t index = 0;  ///< Version of the list; increases with each change.
+  bool isSnapshot = false;  ///< true: the complete list; false: the changed entries only.
   std::vector<EngineListMessageEntry> engines;
 
   EngineListUpdate::Scope scope() const {
     return isSnapshot ? EngineListUpdate::Scope::kSnapshot : EngineListUpdate::Scope::kDelta;
   }
-  /// The message as an event for the decision module.
+  /// The message in the form that the decision module (Policy) takes.
   EngineListUpdate toUpdate() const;
 };
 
-/// The decision module's number for an engine. Every node derives the same one, whatever it has seen before.
+/// The decision module's id of an engine, a hash of its name: the same on every node.
 EngineId engineIdOf(const std::string& name);
 
-/// Parses one object of the watch. Ignores unknown fields and statuses, and leaves out entries without a name
-/// or, where the engine is serving, without an address. Returns nothing where the object itself is malformed.
+/// Parses one JSON object of the watch. Ignores unknown fields, takes unknown statuses as "up", and skips
+/// entries without a name and serving engines without a valid address. Returns nothing if the object is
+/// malformed.
 std::optional<EngineListMessage> parseEngineListMessage(const instance::Json& object,
                                                         const instance::InstanceNames& names,
                                                         const net::WallClock& clock);
 
-/// Tells new lists from ones that are older than the list in use. After a restart, discovery may count from
-/// the start again: its lists are accepted once it has sent nothing newer for a while.
+/// Tells messages that are as new as the list in use from older ones. A restarted discovery may count
+/// versions from the start again, so an older snapshot is accepted if only older lists were received for 2 s.
 class EngineListVersion {
  public:
   enum class Decision {
-    kApply,  ///< The message is news.
-    kResync  ///< The message cannot be used: a snapshot is needed.
+    kApply,  ///< The message is not older than the list in use and can be applied.
+    kResync  ///< The message is outdated: request a snapshot.
   };
 
-  /// Classifies a message and, where it is to be applied, remembers its index. `now` is the loop's clock.
+  /// Classifies a message and stores its index if it is to be applied. `now` is the loop's time.
   Decision classify(std::uint64_t index, bool isSnapshot, Instant now);
 
-  /// Index of the newest list that was applied.
+  /// Index of the message that was applied last.
   std::uint64_t latestIndex() const { return latestIndex_; }
 
  private:
   std::uint64_t latestIndex_ = 0;
-  std::optional<Instant> staleSince_;  // since when only older lists have come
+  std::optional<Instant> staleSince_;  // when the first of the consecutive older lists was received
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engine_response.cpp
+++ b/src/platform/engine_response.cpp
@@ -29,7 +29,7 @@
       return Outcome::kNotSent;
     case http1::CallResult::kNotConnected:
       return Outcome::kConnectFailed;
-    case http1::CallResult::kMalformed:  // it may have run, and the engine can be reached
+    case http1::CallResult::kMalformed:  // the engine is reachable, and the request may have been executed
       return Outcome::kError;
     default:
       return Outcome::kReset;
@@ -45,7 +45,7 @@
   const std::string* const rejected = head.fields.find("X-Rejected");
   notExecuted_ = rejected != nullptr && *rejected == "1";
   const std::string* const report = head.fields.find("X-Load-Report");
-  if (report != nullptr) loadOfHead_ = parseLoadReport(*report);
+  if (report != nullptr) headLoadReport_ = parseLoadReport(*report);
   isStream_ = status_ == kStatusOk && kind_ == AttemptKind::kDecode;
 }
 
@@ -72,8 +72,8 @@
   if (partialEventSince_) partialEventSince_ = now;
 }
 
-// A prefill that ended with a success other than its own has run all the same: like one that was abandoned,
-// it may have left a state.
+// A prefill that is answered with a 2xx status other than 202 may have run and left a state at the engine, so
+// it is treated like an abandoned attempt.
 AttemptResult EngineResponseDecoder::resultOfStatus() const {
   const bool isOtherSuccess =
       kind_ == AttemptKind::kPrefill && status_ / 100 == 2 && status_ != kStatusAccepted;
@@ -101,7 +101,7 @@
   result.reason = reason;
   result.end = end;
   result.cachedTokens = events_.cachedTokens();
-  result.load = events_.loadReport() ? events_.loadReport() : loadOfHead_;
+  result.load = events_.loadReport() ? events_.loadReport() : headLoadReport_;
   return result;
 }
 
--- a/src/platform/engine_response.h
+++ b/src/platform/engine_response.h
@@ -1,5 +1,5 @@
-// What an engine's response says about the attempt that it answers. Decodes only; owns no connection and
-// calls nobody but the event handler that it is given.
+// Decodes an engine's HTTP response to an attempt into events and a result. Has no connection and no timers;
+// its only callback is the event handler.
 #pragma once
 
 #include <optional>
@@ -13,65 +13,67 @@
 
 namespace gannetcourse::platform {
 
-/// What an attempt is for.
+/// The step of the request that an attempt executes.
 enum class AttemptKind { kPrefill, kDecode };
 
-/// How an attempt ended.
+/// The result of an attempt.
 struct AttemptResult {
   Outcome outcome = Outcome::kError;
-  std::string reason;  ///< For the records.
+  std::string reason;  ///< Text for the records.
   recovery::AttemptEnd end = recovery::AttemptEnd::kConfirmed;
   double cachedTokens = 0;  ///< Prompt tokens found in the engine's prefix cache; 0 = not stated.
   std::optional<LoadReport> load;
 };
 
-/// The outcome of an attempt that was answered with `status`. `notExecuted`: the response states that the
-/// request has not run.
+/// The outcome of an attempt whose response has the status `status`. `notExecuted`: the response states that
+/// the request was not executed.
 Outcome outcomeOf(int status, bool notExecuted, AttemptKind kind);
-/// The outcome of an attempt whose response is incomplete.
+/// The outcome of an attempt whose call ended without a complete response.
 Outcome outcomeOf(http1::CallResult result);
 
-/// Decodes the response to one attempt: a prefill's 202, a stream of events, or a status that ends the
-/// attempt.
+/// Decodes the response to one attempt: status 202 for a prefill, an event stream, or another status that
+/// ends the attempt.
 class EngineResponseDecoder {
  public:
   explicit EngineResponseDecoder(AttemptKind kind) : kind_(kind) {}
 
   void onHead(const http1::ResponseHead& head);
-  /// Takes bytes of the body at `now`; `onEvent` gets the events of a stream. Returns false where they cannot
-  /// be events.
+  /// Decodes body bytes received at `now` and calls `onEvent` for each complete event of a stream. Returns
+  /// false if the bytes are not valid events.
   bool onBody(std::string_view bytes, Instant now, const EventStreamDecoder::EventHandler& onEvent);
 
-  /// Whether the status has ended the attempt: the body adds nothing and may never come.
+  /// Whether the status alone determines the result: the body is not needed and may be missing.
   bool endedByStatus() const { return status_ != 0 && !hasBody(); }
   bool isStream() const { return isStream_; }
-  /// Whether the last event of the stream has come.
+  /// Whether the stream's last event, [DONE], was received.
   bool streamIsComplete() const { return events_.isComplete(); }
-  /// Since when an event is incomplete.
+  /// When the first byte of the current incomplete event was received; empty if no event is incomplete.
   std::optional<Instant> partialEventSince() const { return partialEventSince_; }
-  /// Restarts the time of an incomplete event, where this side did not read for a while.
+  /// Restarts the time measurement of an incomplete event, after reading was paused.
   void restartPartialEvent(Instant now);
 
-  /// The result of a response whose status has ended the attempt, or of a prefill that has answered.
+  /// The result of a response without a stream: the status determines it. For a prefill, the body states the
+  /// cached tokens.
   AttemptResult resultOfStatus() const;
-  /// The result of a stream whose body has ended. A last event without its empty line is passed to `onEvent`.
+  /// The result of a stream whose body has ended. A last event without the terminating empty line is passed
+  /// to `onEvent`.
   AttemptResult finishStream(const EventStreamDecoder::EventHandler& onEvent);
-  /// A result for other reasons, with the load that the response reported.
+  /// A result with the given outcome, with the cached tokens and the load report of the response so far.
   AttemptResult resultOf(Outcome outcome, const std::string& reason, recovery::AttemptEnd end) const;
 
  private:
-  // Whether the body has a meaning: a stream, or the answer to a prefill.
+  // Whether the body is needed: it is an event stream or the response to a prefill.
   bool hasBody() const { return isStream_ || isPrefillAnswer(); }
   bool isPrefillAnswer() const;
   double cachedTokensOfPrefill() const;
 
   AttemptKind kind_;
-  int status_ = 0;  // 0 = no head has come
+  int status_ = 0;  // 0 = no response head received
   bool isStream_ = false, notExecuted_ = false;
-  std::string body_;  // of anything but a stream, up to a limit
+  std::string body_;  // of a response that is not a stream; no more is stored once it has 4 KiB
   EventStreamDecoder events_;
   std::optional<Instant> partialEventSince_;
-  std::optional<LoadReport> loadOfHead_;
+  std::optional<LoadReport> headLoadReport_;
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engine_table.h
+++ b/src/platform/engine_table.h
@@ -1,5 +1,5 @@
-// The engines that this node knows from the engine list, and what the engine client has observed of them.
-// EngineClient alone changes the table; ReleaseDispatcher reads it.
+// The engines that this node knows from the engine list, with their state as seen by the engine client. Only
+// EngineClient changes the table; ReleaseDispatcher reads it.
 #pragma once
 
 #include <map>
@@ -9,15 +9,15 @@
 
 namespace gannetcourse::platform {
 
-/// What is known of one engine.
+/// The state of one engine.
 struct EngineRecord {
   net::Endpoint address;
-  Instant lastHeardAt{};  ///< When anything last came from it; the epoch = never.
-  bool removed = false;   ///< Off the list. Its process may run on.
+  Instant lastActivityAt{};  ///< When data was last received from it; the epoch = never.
+  bool removed = false;      ///< No longer on the engine list; its process may still run.
   bool draining = false;
-  /// It takes no new work, and calls that waited for a connection to it have been cancelled.
+  /// Whether its unsent calls were cancelled after it started to drain or was removed.
   bool unsentCallsCancelled = false;
-  Instant removedAt{};  ///< Since when it is off the list; the epoch = it is listed.
+  Instant removedAt{};  ///< When it was removed from the list; the epoch = it is listed.
 
   bool isServing() const { return !removed && !draining; }
 };
--- a/src/platform/event_stream.cpp
+++ b/src/platform/event_stream.cpp
@@ -17,7 +17,8 @@
 constexpr std::string_view kUsageKey = "\"usage\"";
 constexpr std::size_t kMaxEventBytes = 64 * 1024;
 
-// One past the empty line that ends the event at `from`; npos where it has not come. Lines end in LF or CRLF.
+// The position after the empty line that ends the event starting at `from`, or npos if the event is
+// incomplete. Lines end in LF or CRLF.
 std::size_t eventEnd(std::string_view text, std::size_t from) {
   for (std::size_t at = text.find('\n', from); at != std::string_view::npos; at = text.find('\n', at + 1)) {
     std::size_t next = at + 1;
@@ -27,7 +28,7 @@
   return std::string_view::npos;
 }
 
-// The number at a path of keys; 0 where there is none.
+// The number at the path of nested keys, or 0 if it is missing or not a number.
 double numberAt(const instance::Json& event, std::initializer_list<const char*> path) {
   const instance::Json* value = &event;
   for (const char* const key : path) {
@@ -52,7 +53,8 @@
   return startsLikeEvent() && partialEvent_.size() <= kMaxEventBytes;
 }
 
-// Whether the bytes of the event that has begun can become one: noise is not waited for.
+// Whether the incomplete event starts like a valid one. Invalid data is rejected at its first bytes, without
+// waiting for an empty line.
 bool EventStreamDecoder::startsLikeEvent() const {
   if (partialEvent_.empty()) return true;
   const char first = partialEvent_[0];
--- a/src/platform/event_stream.h
+++ b/src/platform/event_stream.h
@@ -1,4 +1,4 @@
-// Decodes an engine's stream of server-sent events. Bytes in, complete events out; no sockets.
+// Decodes an engine's stream of server-sent events from received bytes. No sockets.
 #pragma once
 
 #include <functional>
@@ -10,28 +10,29 @@
 
 namespace gannetcourse::platform {
 
-/// Splits a response body into events, which are passed on byte for byte. Comments are not: they are for this
-/// node, and one may carry a load report.
+/// Splits a response body into events and passes them on byte for byte, without their comment lines. Comments
+/// are meant for this node and may contain a load report.
 class EventStreamDecoder {
  public:
   using EventHandler = std::function<void(std::string event)>;
 
-  /// Takes the next bytes and calls `onEvent` with each event that is complete. Returns false where the bytes
-  /// are no events.
+  /// Decodes the next bytes and calls `onEvent` with each complete event. Returns false if the bytes are not
+  /// valid events, or if the incomplete event is longer than 64 KiB.
   bool feed(std::string_view bytes, const EventHandler& onEvent);
 
-  /// The body has ended. Delivers an event that lacks nothing but its empty line. Returns false where the
-  /// stream is incomplete: its last event has not come.
+  /// Must be called at the end of the body. Delivers a last event that lacks only its terminating empty line.
+  /// Returns false if the stream is incomplete, that is, the [DONE] event is missing, or the rest is
+  /// malformed.
   bool finish(const EventHandler& onEvent);
 
-  /// Whether an event has begun and is not complete.
+  /// Whether part of an event was received.
   bool hasPartialEvent() const { return !partialEvent_.empty(); }
-  /// Whether the last event, [DONE], has come.
+  /// Whether the last event, [DONE], was received.
   bool isComplete() const { return complete_; }
 
-  double cachedTokens() const { return cachedTokens_; }  ///< Prompt tokens found cached; 0 = not stated.
-  double generatedTokens() const { return generatedTokens_; }  ///< As the engine counts them; 0 = not stated.
-  const std::optional<LoadReport>& loadReport() const { return loadReport_; }  ///< The latest one.
+  double cachedTokens() const { return cachedTokens_; }  ///< Prompt tokens in the cache; 0 = not stated.
+  double generatedTokens() const { return generatedTokens_; }  ///< As counted by the engine; 0 = not stated.
+  const std::optional<LoadReport>& loadReport() const { return loadReport_; }  ///< The latest one received.
 
  private:
   bool decodeEvent(std::string_view event, const EventHandler& onEvent);
--- a/src/platform/frontend.cpp
+++ b/src/platform/frontend.cpp
@@ -21,11 +21,11 @@
   kGatewayTimeout = 504
 };
 
-// The line of a Retry-After field; empty without an advice.
-std::string retryAfterField(Duration advice) {
-  if (advice.count() <= 0) return {};
+// The Retry-After header line with the delay in seconds; empty if the delay is 0.
+std::string retryAfterField(Duration delay) {
+  if (delay.count() <= 0) return {};
   char text[48];
-  std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", advice.count());
+  std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", delay.count());
   return text;
 }
 
@@ -33,13 +33,14 @@
   const NodeLimits limits = limitsOf(configuration);
   http1::ServerOptions options;
   options.maxConnections = limits.maxClientConnections;
-  options.maxBufferedRequestBytes = limits.maxBufferedBytes / 2;  // the other half is for open requests
+  options.maxBufferedRequestBytes = limits.maxBufferedBytes / 2;  // the rest is for requests at the core
   return options;
 }
 
 }  // namespace
 
-/// A request that the core has accepted. The response's head is sent with the first token.
+/// A request that was passed to the core, until its final response. The response head is sent with the first
+/// token.
 class Frontend::OpenRequest final : public frontend::ClientStream {
  public:
   OpenRequest(Frontend& frontend, std::shared_ptr<http1::Exchange> exchange, std::string id,
--- a/src/platform/frontend.h
+++ b/src/platform/frontend.h
@@ -1,5 +1,5 @@
-// The HTTP frontend for the platform's clients: parses their requests, hands valid ones to the core and
-// writes its responses.
+// The HTTP frontend for the platform's clients: parses their requests, passes valid ones to the core and
+// writes the responses.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,29 @@
 
 namespace gannetcourse::platform {
 
-/// Owns the listener, the clients' connections and the ids of open requests. Not thread-safe; everything runs
-/// on the loop. `driver` must outlive it.
+/// Owns the listener, the client connections and the ids of open requests. Not thread-safe: all calls must be
+/// made on the loop's thread. `driver` must outlive it.
 class Frontend {
  public:
-  /// Listens. Throws std::system_error where it cannot.
+  /// Starts listening. Throws std::system_error if that fails.
   Frontend(net::Loop& loop, const Configuration& configuration, node::CoreDriver& driver);
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
-  /// What the readiness check answers, until the drain.
+  /// Sets what the readiness check reports; during a drain it always reports "not ready".
   void setReady(bool ready) { ready_ = ready; }
-  /// Takes names, limits and the Retry-After of a new configuration; the address stays.
+  /// Applies the names, limits and Retry-After of a new configuration; the listening address is unchanged.
   void applyConfiguration(const Configuration& configuration);
-  /// Answers "not ready" from now on, and ends connections once nothing is open on them.
+  /// Starts the drain: the readiness check reports "not ready", and connections are closed once they have no
+  /// open request.
   void drain();
-  /// Closes the listener and the connections that are idle.
+  /// Closes the listener and the idle connections.
   void shutdown() { server_.shutdown(); }
 
   std::uint16_t port() const { return server_.port(); }
   const http1::Server& server() const { return server_; }
-  /// Requests that this frontend has answered with an error itself: malformed ones, and those past its
-  /// limits.
+  /// Number of requests that the frontend itself answered with an error: malformed ones, and those that
+  /// exceeded its limits.
   std::uint64_t rejectedMalformed() const { return rejectedMalformed_; }
 
  private:
@@ -47,10 +48,10 @@
   node::CoreDriver& driver_;
   instance::InstanceNames names_;
   NodeLimits limits_;
-  Duration retryAfter_{0};  // of the frontend's own 503; 0 = none
+  Duration retryAfter_{0};  // for the frontend's own 503 responses; 0 = none
   bool ready_ = false, draining_ = false;
   std::unordered_set<std::string> openRequestIds_;
-  std::uint64_t bufferedBytes_ = 0;  // of open requests
+  std::uint64_t bufferedBytes_ = 0;  // bodies and headers of open requests
   std::uint64_t rejectedMalformed_ = 0;
   http1::Server server_;
 };
--- a/src/platform/json_stream_splitter.h
+++ b/src/platform/json_stream_splitter.h
@@ -1,4 +1,4 @@
-// Splits the bytes of a discovery watch into JSON objects. No I/O, no parsing beyond braces and strings.
+// Splits the byte stream of a discovery watch into JSON objects. No I/O; tracks only brackets and strings.
 #pragma once
 
 #include <functional>
@@ -7,23 +7,23 @@
 
 namespace gannetcourse::platform {
 
-/// Finds the JSON objects in a stream of bytes, whatever their layout over lines and reads.
+/// Finds the JSON objects in a byte stream; an object may span several lines and reads.
 class JsonStreamSplitter {
  public:
   using ObjectHandler = std::function<void(std::string object)>;
 
-  /// Calls `onObject` with the text of each object that is complete. Returns whether the bytes prove that the
-  /// sender is alive: they ended an object, or a line between objects. An object that is longer than 8 MiB is
-  /// dropped.
+  /// Calls `onObject` with the text of each complete object. Returns true if the bytes prove that the sender
+  /// is alive: they complete an object or contain a line end between objects. Drops an object that is longer
+  /// than 8 MiB.
   bool feed(std::string_view bytes, const ObjectHandler& onObject);
 
  private:
   void trackStructure(char c);
 
-  std::string object_;  // what has come of the object
-  int depth_ = 0;       // open braces and brackets
+  std::string object_;  // the received part of the current object
+  int depth_ = 0;       // number of open braces and brackets
   bool inString_ = false;
-  bool escaped_ = false;  // the next character of the string is escaped
+  bool escaped_ = false;  // the next character is escaped by a backslash
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/load_report.cpp
+++ b/src/platform/load_report.cpp
@@ -11,9 +11,9 @@
 namespace gannetcourse::platform {
 namespace {
 
-constexpr std::string_view kFormat = "TEXT ";
+constexpr std::string_view kFormatPrefix = "TEXT ";
 
-// Parses a finite number that is not negative.
+// Parses a finite, non-negative number.
 std::optional<double> parseMetricValue(std::string_view digits) {
   double value = 0;
   const char* const end = digits.data() + digits.size();
@@ -27,8 +27,8 @@
 
 std::optional<LoadReport> parseLoadReport(std::string_view text) {
   text = trimmed(text);
-  if (text.substr(0, kFormat.size()) != kFormat) return std::nullopt;
-  text.remove_prefix(kFormat.size());
+  if (text.substr(0, kFormatPrefix.size()) != kFormatPrefix) return std::nullopt;
+  text.remove_prefix(kFormatPrefix.size());
   LoadReport load;
   while (!text.empty()) {
     const std::size_t comma = std::min(text.size(), text.find(','));
@@ -39,7 +39,7 @@
     const std::optional<double> value = parseMetricValue(trimmed(pair.substr(equals + 1)));
     if (!value) return std::nullopt;
     const std::string_view path = trimmed(pair.substr(0, equals));
-    const std::string_view name = path.substr(path.rfind('.') + 1);  // all of it where it has no dot
+    const std::string_view name = path.substr(path.rfind('.') + 1);  // the whole path if it has no dot
     instance::setLoadMetric(load, std::string(name), *value);
   }
   return load;
--- a/src/platform/load_report.h
+++ b/src/platform/load_report.h
@@ -1,4 +1,4 @@
-// Load reports of engines in the form in which the platform's engines write them.
+// Parses load reports in the text format of the platform's engines.
 #pragma once
 
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace gannetcourse::platform {
 
-/// Parses "TEXT a=1, b=2", metrics by their names in the settings; unknown names are ignored. Returns nothing
-/// where any part is malformed.
+/// Parses "TEXT a=1, b=2" into a load report. instance/load_metrics.cpp lists the known metric names; unknown
+/// ones are ignored. Returns nothing if any part is malformed.
 std::optional<LoadReport> parseLoadReport(std::string_view text);
 
 }  // namespace gannetcourse::platform
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -13,15 +13,16 @@
 
 using instance::Json;
 
-// Clients keep opening connections for a while after SIGTERM: each of these gets its answer.
-const Duration kDrainLinger{1.2};
+// Minimum time between the start of a drain and the closing of the listener. Clients open connections for a
+// while after SIGTERM, and each of these must get a response.
+const Duration kMinDrainDuration{1.2};
 const Duration kStatisticsInterval{10};
 const Duration kResponseMargin{0.01};
-// The list that a node is started with may be old, and changes that discovery knows of count from the start:
-// the node is not ready before discovery has answered or this has passed.
+// The engine list in the configuration may be outdated, and the node must follow the changes that discovery
+// already knows of. It becomes ready after the first list of discovery, or after this time without one.
 const Duration kDiscoveryWait{0.3};
-// The same for a node that knows no engine. Without an answer by then it is ready and rejects, with a
-// Retry-After.
+// The same for a node without engines in its configuration. After this time it becomes ready all the same,
+// and rejects requests with a Retry-After.
 const Duration kDiscoveryWaitWithoutEngines{5};
 
 http1::ClientOptions engineConnectionOptions(const Configuration& configuration) {
@@ -37,18 +38,19 @@
   options.nodeName = configuration.name;
   options.responseMargin = kResponseMargin;
   options.recordsEnabled = recordsEnabled;
-  options.recovery.enabled = false;  // clients get the events of one engine's stream, unchanged
+  options.recovery.enabled = false;  // the protocol has no continuation at another engine
   return options;
 }
 
-// The module and open requests refer to names by their places: more may follow, none may move.
-bool keepsPlaces(const std::vector<std::string>& before, const std::vector<std::string>& after) {
+// Whether each name has the same index in `after` as in `before`. The decision module and open requests refer
+// to names by index, so a reload may only append names.
+bool keepsIndices(const std::vector<std::string>& before, const std::vector<std::string>& after) {
   return before.size() <= after.size() && std::equal(before.begin(), before.end(), after.begin());
 }
 
-bool keepsPlaces(const instance::InstanceNames& before, const instance::InstanceNames& after) {
-  return keepsPlaces(before.classes, after.classes) && keepsPlaces(before.tenants, after.tenants) &&
-         keepsPlaces(before.zones, after.zones);
+bool keepsIndices(const instance::InstanceNames& before, const instance::InstanceNames& after) {
+  return keepsIndices(before.classes, after.classes) && keepsIndices(before.tenants, after.tenants) &&
+         keepsIndices(before.zones, after.zones);
 }
 
 }  // namespace
@@ -89,7 +91,7 @@
   return hooks;
 }
 
-// Violations are logged, with their request, even where no records are.
+// Logs invariant violations with their request when records are not written.
 void Node::logViolation(const router::Record& record) {
   if (record.kind != router::RecordKind::kInvariantViolation) return;
   log_("router", "error", "violation: " + record.reason + " by request " + record.request);
@@ -107,12 +109,12 @@
 void Node::onDiscoveryObject(const std::string& text) {
   const Json object = Json::parse(text, nullptr, false);
   if (object.is_discarded()) {
-    watchMissed("an object of the watch is no JSON");
+    onUnreadableObject("discovery sent an object that is not valid JSON");
     return;
   }
   const auto message = parseEngineListMessage(object, configuration_.names, clock_);
   if (!message) {
-    watchMissed("an object of the watch cannot be read");
+    onUnreadableObject("discovery sent an object that is not a valid engine list");
     return;
   }
   const auto decision = listVersion_.classify(message->index, message->isSnapshot, loop_.now());
@@ -125,19 +127,20 @@
   becomeReady("with discovery's list");
 }
 
-// What could not be read may have been a drain: a snapshot is needed.
-void Node::watchMissed(const char* reason) {
+// Requests a snapshot, because the unreadable object may have contained a drain or removal.
+void Node::onUnreadableObject(const char* reason) {
   log_("discovery", "warn", reason);
   watch_->requestSnapshot();
 }
 
-// The list of the configuration. The core needs a first list, even an empty one.
+// Applies the engine list of the configuration, or an empty one: the core needs a first list.
 void Node::applyKnownEngineList() {
   const Json& known = configuration_.knownEngineList;
   auto message =
       parseEngineListMessage(known.is_object() ? known : Json::object(), configuration_.names, clock_);
   if (!message) {
-    log_("discovery", "warn", "the known list cannot be read");
+    log_("discovery", "warn",
+         "the engine list in the configuration (field 'known') is invalid; starting without engines");
     message.emplace();
   }
   listVersion_.classify(message->index, true, loop_.now());
@@ -165,8 +168,9 @@
 void Node::reload(Configuration configuration) {
   configuration.name = configuration_.name;
   configuration.listenEndpoint = configuration_.listenEndpoint;
-  if (!keepsPlaces(configuration_.names, configuration.names))
-    throw std::invalid_argument("rule 2 (no effect twice): a class, tenant or zone lost its place");
+  if (!keepsIndices(configuration_.names, configuration.names))
+    throw std::invalid_argument(
+        "rule 2 (no effect twice): classes, tenants and zones must keep their order; only append to them");
   driver_.step([&](router::Core& core, Instant now) { core.reconfigure(now, configuration.policySettings); });
   const bool discoveryMoved = configuration.discoveryEndpoint != configuration_.discoveryEndpoint;
   configuration_ = std::move(configuration);
@@ -184,10 +188,10 @@
   frontend_.drain();
 }
 
-// Runs after each turn of the core's timer. The listener is closed first; the drain is over in a later turn,
-// once the connections that came until then have been served as well.
+// Runs after each run of the core's timer. Closes the listener once no work is pending, and ends the drain in
+// a later run, after connections that were accepted in between have been served.
 void Node::checkDrained() {
-  if (!onDrained_ || loop_.now() - drainStartedAt_ < kDrainLinger) return;
+  if (!onDrained_ || loop_.now() - drainStartedAt_ < kMinDrainDuration) return;
   const bool pending = core().pendingObligations() > 0 || engineClient_.auxiliaryCalls() > 0 ||
                        frontend_.server().busyCount() > 0;
   if (pending) return;
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -1,5 +1,5 @@
-// A node on the platform's protocol: frontend, core, engine client and discovery watch on one loop. The core
-// and the decision module are those of every other node; only the protocol differs.
+// A node that uses the platform's HTTP protocol: frontend, core, engine client and discovery watch on one
+// loop. The core and the decision module are the same as in a gRPC node; only the protocol differs.
 #pragma once
 
 #include <cstdint>
@@ -17,35 +17,36 @@
 
 namespace gannetcourse::platform {
 
-/// Owns all parts of a node. Not thread-safe; everything runs on `loop`, which must outlive it.
+/// Owns all parts of a node. Not thread-safe: all calls must be made on the thread of `loop`, which must
+/// outlive the node.
 class Node {
  public:
   using Log =
       std::function<void(const std::string& package, const std::string& level, const std::string& text)>;
 
-  /// Listens, applies the known engine list and opens the watch. `log` and `record` must not block; without
-  /// `record` only violations are logged. Throws std::system_error where it cannot listen.
+  /// Starts listening, applies the engine list of the configuration and opens the discovery watch. `log` and
+  /// `record` must not block. Without `record`, only invariant violations are logged. Throws
+  /// std::system_error if the node cannot listen.
   Node(net::Loop& loop, Configuration configuration, Log log,
        const std::function<void(const router::Record&)>& record = nullptr);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Applies a new configuration: settings, limits and the endpoint of discovery. Name and address stay.
-  /// Throws std::invalid_argument where a class, tenant or zone lost its place; then everything stays as it
-  /// was.
+  /// Applies a new configuration: settings, limits and the endpoint of discovery. The node's name and
+  /// listening address are unchanged. Throws std::invalid_argument, and changes nothing, if an existing
+  /// class, tenant or zone has another index in the new configuration.
   void reload(Configuration configuration);
 
-  /// Shuts down gracefully. Calls `done` once: when no new connections come any more, each accepted request
-  /// has its final response, and each connection that a client may still use has been ended. Later calls do
-  /// nothing.
+  /// Shuts down gracefully. Calls `done` once the listener is closed, each accepted request has its final
+  /// response and each connection that a client may still use has been closed. Later calls do nothing.
   void drain(std::function<void()> done);
 
   std::uint16_t port() const { return frontend_.port(); }
   const router::Core& core() const { return driver_.core(); }
   const EngineClient& engineClient() const { return engineClient_; }
   const Frontend& frontend() const { return frontend_; }
-  /// Index of the newest engine list.
+  /// Index of the engine list in use.
   std::uint64_t listIndex() const { return listVersion_.latestIndex(); }
   NodeStatistics statistics() const;
   /// The statistics as one line for the log.
@@ -56,7 +57,7 @@
   void logViolation(const router::Record& record);
   void openWatch();
   void onDiscoveryObject(const std::string& text);
-  void watchMissed(const char* reason);
+  void onUnreadableObject(const char* reason);
   void applyKnownEngineList();
   void applyEngineList(const EngineListMessage& message, EngineListUpdate::Scope scope);
   void becomeReady(const char* reason);
--- a/src/platform/node_statistics.h
+++ b/src/platform/node_statistics.h
@@ -1,4 +1,4 @@
-// The figures of a node that it logs at intervals: one typed snapshot and its one line of text.
+// The statistics that a node logs periodically: a snapshot of the values and its formatting as a log line.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace gannetcourse::platform {
 
-/// What a node has done since its start and what is open at one moment, at the core and on the sockets.
+/// Counters since the node's start, and the numbers of open requests, calls and connections at one moment.
 struct NodeStatistics {
   // ---- Requests ----
   router::Counters requests;
   router::ViolationCounts violations;
-  std::uint64_t rejectedMalformed = 0;  ///< Answered by the frontend itself; the core never had them.
-  std::size_t openRequests = 0;         ///< At the core.
-  std::size_t openCalls = 0;            ///< Attempts at engines.
+  std::uint64_t rejectedMalformed = 0;  ///< Rejected by the frontend; not passed to the core.
+  std::size_t openRequests = 0;         ///< Requests at the core without a final response.
+  std::size_t openCalls = 0;            ///< Open attempts at engines.
 
   // ---- Releases ----
   std::size_t releasesPending = 0;
@@ -29,13 +29,13 @@
   std::uint64_t engineConnectionsOpened = 0;
   http1::ServerCounters clients;
 
-  // ---- Failures of this machine ----
+  // ---- Local failures ----
   std::uint64_t failedAccepts = 0;
-  std::uint64_t failedWatches = 0;         ///< Descriptors that epoll did not take.
-  std::uint64_t localConnectFailures = 0;  ///< Calls for which no connection could be opened here.
+  std::uint64_t failedWatches = 0;         ///< Descriptors that could not be added to epoll.
+  std::uint64_t localConnectFailures = 0;  ///< Calls for which no local socket could be opened.
 
   // ---- The engine list ----
-  std::uint64_t listIndex = 0;  ///< Of the newest list.
+  std::uint64_t listIndex = 0;  ///< Index of the engine list in use.
   std::uint64_t discoveryWatches = 0;
   std::uint64_t snapshotRequests = 0;
 };
--- a/src/platform/release_dispatcher.cpp
+++ b/src/platform/release_dispatcher.cpp
@@ -10,20 +10,20 @@
 namespace gannetcourse::platform {
 namespace {
 
-// Without an answer within a step, more engines are called. A step is this share of the lease limit, at most
-// kMaxStepInterval.
+// Interval between the steps of a pending release; each step calls more engines. It is kStepShareOfLease of
+// the lease limit, but at most kMaxStepInterval.
 const Duration kMaxStepInterval{0.1};
 constexpr double kStepShareOfLease = 0.1;
 const Duration kCallTimeout{0.4};
-// An engine that leaves an earlier call unanswered for this long comes last.
+// An engine with a call that is unanswered for this long is called only after all others.
 const Duration kSilenceLimit{0.05};
 constexpr std::size_t kMaxFanOut = 8;
-// Of the open calls, those to engines that do not answer: the rest is for the first that does.
+// Limit for unanswered calls. The other half of the calls is for the first engine that answers.
 constexpr std::size_t kMaxUnanswered = ReleaseDispatcher::kMaxCallsInFlight / 2;
 constexpr std::size_t kMinUnansweredPerEngine = 2;
-const Duration kShutdownWait{3};
-const Duration kMaxAge{30};
-const Duration kSlowConfirmation{0.3};  // slower ones are logged
+const Duration kShutdownWait{3};        // a shutdown does not wait for older releases
+const Duration kMaxAge{30};             // older releases are abandoned
+const Duration kSlowConfirmation{0.3};  // slower confirmations are logged
 
 bool isSuccess(int status) { return status / 100 == 2; }
 
@@ -61,8 +61,8 @@
 std::shared_ptr<ReleaseDispatcher::PendingRelease> ReleaseDispatcher::addPending(const std::string& id) {
   if (pending_.size() >= kMaxPending) {
     const std::shared_ptr<PendingRelease> oldest =
-        pending_.front();  // a copy: finish() erases its place in the list
-    finish(oldest, Ending::kAbandoned);
+        pending_.front();  // a copy, because finish() erases the list element
+    finish(oldest, ReleaseResult::kAbandoned);
   }
   auto release = std::make_shared<PendingRelease>();
   release->id = id;
@@ -72,7 +72,7 @@
   return release;
 }
 
-std::size_t ReleaseDispatcher::awaitedByShutdown() const {
+std::size_t ReleaseDispatcher::releasesBlockingShutdown() const {
   const Instant oldest = loop_.now() - kShutdownWait;
   return static_cast<std::size_t>(
       std::count_if(pending_.begin(), pending_.end(),
@@ -93,7 +93,7 @@
   for (const auto& release : all) {
     if (release->done) continue;
     if (loop_.now() - release->startedAt > kMaxAge) {
-      finish(release, Ending::kAbandoned);
+      finish(release, ReleaseResult::kAbandoned);
     } else if (canSend) {
       advance(release);
       canSend = canSendCall();
@@ -106,7 +106,7 @@
   for (std::size_t i = 0; i < release->fanOut && canSendCall(); ++i) {
     const std::optional<EngineId> engine = selectEngine(*release);
     if (!engine) {
-      if (allEnginesCalled(*release)) release->enginesCalled.clear();  // the next step starts a new round
+      if (allEnginesCalled(*release)) release->enginesCalled.clear();  // start a new round in the next step
       break;
     }
     sendCall(release, *engine);
@@ -114,9 +114,10 @@
   release->fanOut = std::min(2 * release->fanOut, kMaxFanOut);
 }
 
-// Prefers engines on the list, then those that leave no call unanswered, then those with an idle connection,
-// and of these the one heard from most recently: where many fall silent together, it is the most likely to
-// answer. The process of a removed engine may run on, and accepts a release as well.
+// Selects the next engine to call. Prefers, in this order: engines on the engine list, engines without a call
+// that is unanswered for longer than kSilenceLimit, engines with an idle connection, and the engine that was
+// active most recently, which is the most likely one to answer if many engines fail together. Removed engines
+// are candidates too, because their processes may still run and accept releases.
 std::optional<EngineId> ReleaseDispatcher::selectEngine(const PendingRelease& release) const {
   const std::map<EngineId, UnansweredCalls> unanswered = unansweredByEngine();
   const std::set<EngineId> alreadyCalled = enginesWithOpenCall(release);
@@ -128,9 +129,10 @@
     const bool shareUsed = hasUnanswered && calls->second.count >= maxUnansweredPerEngine();
     if (shareUsed || release.enginesCalled.count(id) > 0 || alreadyCalled.count(id) > 0) continue;
     const bool silent = hasUnanswered && loop_.now() - calls->second.since > kSilenceLimit;
-    // Only engines that were heard from keep an idle connection; a large fleet has few of them.
-    const bool idle = engine.lastHeardAt != Instant{} && client_.hasIdleConnection(engine.address);
-    const std::tuple rank(!engine.removed, !silent, idle, engine.lastHeardAt);
+    // Only an engine that was active can have an idle connection. Checking that first saves time with many
+    // engines.
+    const bool idle = engine.lastActivityAt != Instant{} && client_.hasIdleConnection(engine.address);
+    const std::tuple rank(!engine.removed, !silent, idle, engine.lastActivityAt);
     if (best && rank <= bestRank) continue;
     best = id;
     bestRank = rank;
@@ -166,7 +168,7 @@
   return unanswered < kMaxUnanswered && calls_.size() < kMaxCallsInFlight;
 }
 
-// Guards against silent engines using up the calls: each has its share until it answers one.
+// Limit for unanswered calls to one engine, so that engines that do not answer cannot use up all calls.
 std::size_t ReleaseDispatcher::maxUnansweredPerEngine() const {
   return std::max(kMinUnansweredPerEngine, kMaxUnanswered / std::max<std::size_t>(1, engines_.size()));
 }
@@ -185,7 +187,7 @@
 
 void ReleaseDispatcher::sendCall(const std::shared_ptr<PendingRelease>& release, EngineId engine) {
   const net::Endpoint& to = engines_.at(engine).address;
-  const CallNumber number = ++lastCall_;
+  const CallNumber number = ++lastCallNumber_;
   ++counters_.calls;
   release->enginesCalled.insert(engine);
   release->lastCallAt = loop_.now();
@@ -194,8 +196,8 @@
   call.engine = engine;
   call.sentAt = loop_.now();
   call.timeoutTimer = loop_.runAfter(kCallTimeout, [this, number] {
-    const auto late = calls_.extract(number);
-    if (!late.empty()) client_.cancel(late.mapped().callId);
+    const auto timedOut = calls_.extract(number);
+    if (!timedOut.empty()) client_.cancel(timedOut.mapped().callId);
   });
   std::string head = requestHead("DELETE", "/kv/leases/" + release->id, to);
   const auto response = std::make_shared<StatusResponseHandler>([this, alive = alive_, number](int status) {
@@ -213,11 +215,11 @@
   if (!isSuccess(status)) return;
   onEngineResponse_(call.engine);
   lastAnswerAt_[call.engine] = loop_.now();
-  if (!call.release->done && confirmsRelease(call)) finish(call.release, Ending::kConfirmed);
+  if (!call.release->done && confirmsRelease(call)) finish(call.release, ReleaseResult::kConfirmed);
   sendPendingTo(call.engine);
 }
 
-// An engine that answers gets every release that other engines have left unanswered.
+// Sends the engine, which has just answered, each release whose last call is unanswered for kSilenceLimit.
 void ReleaseDispatcher::sendPendingTo(EngineId engine) {
   if (engines_.count(engine) == 0) return;
   const std::set<const PendingRelease*> alreadyCalled = releasesWithOpenCallTo(engine);
@@ -229,23 +231,24 @@
   }
 }
 
-void ReleaseDispatcher::finish(const std::shared_ptr<PendingRelease>& release, Ending ending) {
+void ReleaseDispatcher::finish(const std::shared_ptr<PendingRelease>& release, ReleaseResult result) {
   release->done = true;
   pending_.remove(release);
   byId_.erase(release->id);
   if (pending_.empty()) lastAnswerAt_.clear();
   const Duration elapsed = loop_.now() - release->startedAt;
-  if (ending == Ending::kConfirmed) {
+  if (result == ReleaseResult::kConfirmed) {
     ++counters_.confirmed;
     counters_.slowestConfirmation = std::max(counters_.slowestConfirmation, elapsed);
   } else {
     ++counters_.abandoned;
   }
-  logFinished(*release, ending, elapsed);
+  logFinished(*release, result, elapsed);
 }
 
-void ReleaseDispatcher::logFinished(const PendingRelease& release, Ending ending, Duration elapsed) const {
-  const bool confirmed = ending == Ending::kConfirmed;
+void ReleaseDispatcher::logFinished(const PendingRelease& release, ReleaseResult result,
+                                    Duration elapsed) const {
+  const bool confirmed = result == ReleaseResult::kConfirmed;
   if (!log_ || (confirmed && elapsed <= kSlowConfirmation)) return;
   log_("warn", "release of " + release.id + (confirmed ? " confirmed after " : " abandoned after ") +
                    std::to_string(elapsed.count()) +
--- a/src/platform/status_response_handler.h
+++ b/src/platform/status_response_handler.h
@@ -1,4 +1,4 @@
-// The response to a call of which only the status counts.
+// Response handler for calls of which only the status is needed.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,8 @@
 
 namespace gannetcourse::platform {
 
-/// Reports the status of a response once the call has ended; 0 where no status came. The body is dropped.
+/// Calls `onStatus` with the response's status when the call has ended, or with 0 if no response head was
+/// received. Ignores the body.
 class StatusResponseHandler final : public http1::ResponseHandler {
  public:
   explicit StatusResponseHandler(std::function<void(int status)> onStatus) : onStatus_(std::move(onStatus)) {}
--- a/src/platform/text_util.h
+++ b/src/platform/text_util.h
@@ -1,11 +1,11 @@
-// Small helpers for the text of headers and events.
+// Helpers for parsing header fields and events.
 #pragma once
 
 #include <string_view>
 
 namespace gannetcourse::platform {
 
-/// `text` without the spaces, tabs and carriage returns around it.
+/// `text` without leading and trailing spaces, tabs and carriage returns.
 inline std::string_view trimmed(std::string_view text) {
   constexpr std::string_view kWhitespace = " \t\r";
   const auto first = text.find_first_not_of(kWhitespace);
--- a/tests/release_dispatcher_test.cpp
+++ b/tests/release_dispatcher_test.cpp
@@ -108,7 +108,7 @@
   for (std::uint32_t id = 1; id <= kSilent; ++id) {
     silentOnes.emplace_back(loop, [](Peer&, const http1::Request&) {});
     engines[EngineId{id}].address = *net::parseEndpoint(silentOnes.back().address());
-    engines[EngineId{id}].lastHeardAt = loop.now();  // more likely to be there
+    engines[EngineId{id}].lastActivityAt = loop.now();  // more likely to be there
   }
   ReleaseDispatcher releases(loop, calls, engines, [](EngineId) {});
   releases.setStateLeaseLimit(Duration(0.3));
