--- a/src/instance/instance_settings.cpp
+++ b/src/instance/instance_settings.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::uint64_t kMaxCount = 1U << 20;
-// "aimUsPer1000PromptTokens" states microseconds for a thousand tokens.
-constexpr double kSecondsPerToken = 1e-9;
+// Converts "aimUsPer1000PromptTokens", in microseconds for 1000 tokens, to seconds for one token.
+constexpr double kSecondsPerTokenPerUnit = 1e-9;
 
 std::vector<std::string> stringArray(const Json& object, const char* key) {
   std::vector<std::string> values;
@@ -25,14 +25,15 @@
   if (name == "idempotent") return Idempotency::kIdempotent;
   if (name == "deduplicated") return Idempotency::kIdempotencyKey;
   if (name == "at_most_once") return Idempotency::kAtMostOnce;
-  throw MalformedInput("unknown idempotency '" + name + "'");
+  throw MalformedInput("unknown idempotency '" + name +
+                       "'; expected idempotent, deduplicated or at_most_once");
 }
 
 DedupScope dedupScopeOf(const std::string& name) {
   if (name == "all") return DedupScope::kAll;
   if (name == "zone") return DedupScope::kZone;
   if (name == "cell") return DedupScope::kCell;
-  throw MalformedInput("unknown group '" + name + "'");
+  throw MalformedInput("unknown group '" + name + "'; expected all, zone or cell");
 }
 
 Role roleOf(const std::string& name) {
@@ -57,7 +58,7 @@
     ClassSettings settings;
     settings.ttftObjective = Duration(asNumber(requireField(entry, "aimS"), "aimS"));
     if (index < objectivesPerToken.size())
-      settings.ttftObjectivePerToken = Duration(objectivesPerToken[index] * kSecondsPerToken);
+      settings.ttftObjectivePerToken = Duration(objectivesPerToken[index] * kSecondsPerTokenPerUnit);
     if (index < names.interTokenObjectives.size())
       settings.interTokenObjective = Duration(names.interTokenObjectives[index]);
     settings.priorityWeight = numberOr(entry, "worth", 1);
@@ -104,7 +105,7 @@
 
 }  // namespace
 
-// Fields are read in a fixed order: of several malformed ones, the first is reported.
+// Reads the fields in a fixed order, so that the same field is reported if several are malformed.
 Settings readSettings(const Json& options, std::uint64_t seed, InstanceNames& names) {
   const Json& family = objectOrEmpty(options, "familyInfo");
   const Json& limits = objectOrEmpty(options, "limits");
--- a/src/instance/instance_settings.h
+++ b/src/instance/instance_settings.h
@@ -1,5 +1,5 @@
-// What the platform gives a router at its start: its settings, and the names that occur in them. Parsed alike
-// by the bench's adapter and by the live node.
+// Parses the settings that the platform gives a router at its start, and the names in them. Used by the
+// adapter for the platform's simulator (wirehost) and by the node.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +13,26 @@
 
 namespace gannetcourse::instance {
 
-/// The names in one instance's settings. The decision module knows them by their places in these lists only.
+/// The names in the settings of one router instance. The decision module refers to them by their indices in
+/// these lists.
 struct InstanceNames {
   std::vector<std::string> classes, tenants, zones;
   std::vector<std::string> engineKinds;
-  std::vector<std::string> kindRoles;        ///< Role of each engine kind.
-  std::vector<double> kindMemoryTokens;      ///< Memory of each engine kind, in tokens.
-  std::vector<double> interTokenObjectives;  ///< Of each class, in seconds.
+  std::vector<std::string> kindRoles;        ///< Role of each engine kind, by index in engineKinds.
+  std::vector<double> kindMemoryTokens;      ///< Memory of each engine kind, in tokens, by index.
+  std::vector<double> interTokenObjectives;  ///< Inter-token objective of each class, in seconds.
 
-  /// The number of a zone. Unknown zones share one number that no known zone has.
+  /// The index of a zone. All unknown zones have the same index, one past the last known zone.
   std::uint32_t zoneIndex(const std::string& name) const;
-  /// Sets role, memory and zone of an engine from the names of its kind and zone.
+  /// Sets the engine's role, memory and zone from the names of its kind and zone.
   void describeEngine(EngineEntry& engine, const std::string& kind, const std::string& zone) const;
 };
 
-/// The place of a name in a list; nothing where it is not in it.
+/// The index of `name` in `names`, or nothing if it is missing.
 std::optional<std::size_t> indexOf(const std::vector<std::string>& names, const std::string& name);
 
-/// Parses the settings object and fills in `names`. Throws MalformedInput.
+/// Parses the settings object and fills in `names`. `seed` is the seed of the decision module's random
+/// numbers. Throws MalformedInput.
 Settings readSettings(const Json& options, std::uint64_t seed, InstanceNames& names);
 
 }  // namespace gannetcourse::instance
--- a/src/instance/json_fields.cpp
+++ b/src/instance/json_fields.cpp
@@ -20,7 +20,7 @@
 }
 
 [[noreturn]] void throwWrongType(const char* key, const char* expected) {
-  throw MalformedInput(std::string("field '") + key + "' is not " + expected);
+  throw MalformedInput(std::string("field '") + key + "' must be " + expected);
 }
 
 std::string asString(const Json& value, const char* key) {
@@ -40,7 +40,7 @@
 
 std::uint64_t asUnsigned(const Json& value, const char* key, std::uint64_t max) {
   if (!value.is_number_unsigned() || value.get<std::uint64_t>() > max)
-    throwWrongType(key, "an integer in range");
+    throwWrongType(key, "an unsigned integer in the allowed range");
   return value.get<std::uint64_t>();
 }
 
@@ -84,7 +84,7 @@
   const Json* value = findField(object, key);
   if (value == nullptr) return 0;
   const std::optional<std::uint64_t> parsed = parseHexKey(asString(*value, key));
-  if (!parsed) throwWrongType(key, "a key of hex digits");
+  if (!parsed) throwWrongType(key, "a string of 1 to 16 hex digits");
   return *parsed;
 }
 
--- a/src/instance/load_metrics.cpp
+++ b/src/instance/load_metrics.cpp
@@ -11,10 +11,10 @@
 struct LoadMetric {
   const char* name;
   std::optional<double> LoadReport::*field;
-  double unit;  // of the wire, in units of the report
+  double scale;  // factor from the unit in the message to the unit in LoadReport
 };
 
-// Both the names of the simulator's wire and those of the engines' reports.
+// The metric names in the messages of the platform's simulator and in the load reports of its engines.
 constexpr std::array<LoadMetric, 8> kLoadMetrics{
     {{"concurrent", &LoadReport::requestsInFlight, 1},
      {"inflight", &LoadReport::requestsInFlight, 1},
@@ -38,7 +38,7 @@
 
 void setLoadMetric(LoadReport& load, const std::string& name, double value) {
   const LoadMetric* const metric = findLoadMetric(name);
-  if (metric != nullptr) load.*(metric->field) = value * metric->unit;
+  if (metric != nullptr) load.*(metric->field) = value * metric->scale;
 }
 
 }  // namespace gannetcourse::instance
--- a/src/instance/load_metrics.h
+++ b/src/instance/load_metrics.h
@@ -1,4 +1,4 @@
-// The metrics of load reports by their names on the platform's wires.
+// Maps the metric names in the platform's messages to the fields of LoadReport.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace gannetcourse::instance {
 
-/// Whether a load report may have a metric of this name.
+/// Whether `name` is a known load metric.
 bool isLoadMetric(const std::string& name);
 
-/// Sets the metric in the report, in the report's own unit. Unknown names are ignored.
+/// Sets the metric `name` in the report, converted to the report's unit. Ignores unknown names.
 void setLoadMetric(LoadReport& load, const std::string& name, double value);
 
 }  // namespace gannetcourse::instance
--- a/wirehost/action_encoder.h
+++ b/wirehost/action_encoder.h
@@ -1,4 +1,4 @@
-// Encodes actions of the decision module as the bench's messages.
+// Encodes actions of the decision module as messages to the platform's simulator.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 
 namespace gannetcourse::wire {
 
-/// The message for an action of the instance `who`.
-nlohmann::json encodeAction(const std::string& who, const Action& action);
+/// Encodes `action` as the message of the router instance `instanceName`.
+nlohmann::json encodeAction(const std::string& instanceName, const Action& action);
 
 }  // namespace gannetcourse::wire
--- a/wirehost/event_decoder.h
+++ b/wirehost/event_decoder.h
@@ -1,4 +1,4 @@
-// Decodes the bench's messages into events of the decision module.
+// Decodes the messages of the platform's simulator into events of the decision module.
 #pragma once
 
 #include <optional>
@@ -9,8 +9,8 @@
 
 namespace gannetcourse::wire {
 
-/// Decodes the message `name` with its fields. Returns nothing for messages that the module has no use for.
-/// Throws instance::MalformedInput, for unknown messages as well.
+/// Decodes the message `name` with its fields. Returns nothing for messages that the decision module ignores.
+/// Throws instance::MalformedInput if the message is unknown or malformed.
 std::optional<Event> decodeEvent(const std::string& name, const instance::Json& fields,
                                  const instance::InstanceNames& names);
 
--- a/wirehost/wire.cpp
+++ b/wirehost/wire.cpp
@@ -18,17 +18,18 @@
 using instance::Json;
 using instance::MalformedInput;
 
-/// One router of the bench.
+/// One router instance of the simulator: its decision module and the names in its settings.
 struct Instance {
   instance::InstanceNames names;
   Policy policy;
 };
 
-// Parses a line: an object with one key, the message's name, whose value holds the message's fields.
+// Parses a line: an object with the message's name as its only key and the message's fields as the value.
 Json parseMessage(const std::string& line) {
   Json message = Json::parse(line, nullptr, false);
-  if (message.is_discarded()) throw MalformedInput("not valid JSON");
-  if (!message.is_object() || message.size() != 1) throw MalformedInput("not an object with a single key");
+  if (message.is_discarded()) throw MalformedInput("the line is not valid JSON");
+  if (!message.is_object() || message.size() != 1)
+    throw MalformedInput("the line is not an object with a single key");
   if (!message.begin().value().is_object()) throw MalformedInput("the message's fields are not an object");
   return message;
 }
@@ -37,10 +38,10 @@
   return instance::asUnsigned(instance::requireField(fields, key), key, UINT64_MAX);
 }
 
-/// Executes the messages of batches, and collects each batch's reply. Owns the instances.
+/// Processes the messages of batches and collects the reply to each batch. Owns the router instances.
 class BatchHost {
  public:
-  /// Handles one line. Returns the reply where the line ends a batch, else an empty string. Throws
+  /// Handles one line. Returns the reply if the line ends a batch, otherwise an empty string. Throws
   /// MalformedInput.
   std::string handleLine(const std::string& line) {
     const Json message = parseMessage(line);
@@ -50,7 +51,7 @@
       beginBatch(fields);
       return {};
     }
-    if (!inBatch_) throw MalformedInput("'" + name + "' outside a batch");
+    if (!inBatch_) throw MalformedInput("message '" + name + "' outside a batch; expected 'frame' first");
     if (name == "eob") return endBatch();
     handleMessage(name, fields);
     return {};
@@ -60,7 +61,7 @@
 
  private:
   void beginBatch(const Json& fields) {
-    if (inBatch_) throw MalformedInput("'frame' before the batch's end");
+    if (inBatch_) throw MalformedInput("message 'frame' before the batch's end; expected 'eob' first");
     now_ = Instant(Duration(instance::asNumber(instance::requireField(fields, "nowS"), "nowS")));
     batch_ = requireUnsigned(fields, "batch");
     inBatch_ = true;
@@ -74,40 +75,42 @@
   }
 
   void handleMessage(const std::string& name, const Json& fields) {
-    const std::string who = instance::requireString(fields, "who");
+    const std::string instanceName = instance::requireString(fields, "who");
     if (name == "attach") {
-      attach(who, fields);
+      attach(instanceName, fields);
       return;
     }
-    const auto it = instances_.find(who);
-    if (it == instances_.end()) throw MalformedInput("'" + name + "' for an instance that is not attached");
+    const auto it = instances_.find(instanceName);
+    if (it == instances_.end())
+      throw MalformedInput("message '" + name + "' for a router instance that is not attached");
     if (name == "destroy") {
       instances_.erase(it);
     } else {
-      handleEvent(who, it->second, name, fields);
+      handleEvent(instanceName, it->second, name, fields);
     }
   }
 
-  void attach(const std::string& who, const Json& fields) {
+  void attach(const std::string& instanceName, const Json& fields) {
     const Json& options = instance::requireField(fields, "options");
     if (!options.is_object()) instance::throwWrongType("options", "an object");
     instance::InstanceNames names;
     Policy policy(instance::readSettings(options, requireUnsigned(fields, "prng"), names));
-    instances_.insert_or_assign(who, Instance{std::move(names), std::move(policy)});
+    instances_.insert_or_assign(instanceName, Instance{std::move(names), std::move(policy)});
   }
 
-  void handleEvent(const std::string& who, Instance& instance, const std::string& name, const Json& fields) {
+  void handleEvent(const std::string& instanceName, Instance& instance, const std::string& name,
+                   const Json& fields) {
     const std::optional<Event> event = decodeEvent(name, fields, instance.names);
     if (!event) return;
     actions_.clear();
     instance.policy.handle(now_, *event, actions_);
-    for (const Action& action : actions_) appendReply(encodeAction(who, action));
+    for (const Action& action : actions_) appendReply(encodeAction(instanceName, action));
   }
 
   void appendReply(const Json& message) { reply_.append(message.dump()).push_back('\n'); }
 
   std::map<std::string, Instance> instances_;
-  std::vector<Action> actions_;  // of the latest event; kept for its memory
+  std::vector<Action> actions_;  // of the latest event; a member to reuse its memory
   std::string reply_;
   Instant now_;
   std::uint64_t batch_ = 0;
--- a/wirehost/wire.h
+++ b/wirehost/wire.h
@@ -1,4 +1,5 @@
-// The wire of the bench: batches of JSON lines to and from the decision module. Makes no decision.
+// The adapter for the platform's simulator: passes batches of JSON lines to and from the decision module.
+// Makes no routing decisions.
 #pragma once
 
 #include <istream>
@@ -6,8 +7,8 @@
 
 namespace gannetcourse::wire {
 
-/// Serves batches from `in` until its end and returns the exit code. On malformed input it writes one line to
-/// `err`, nothing of the unfinished batch to `out`, and returns 1.
+/// Processes batches from `in` until its end and returns the exit code, 0 on success. On malformed input, it
+/// writes one line to `err`, nothing of the incomplete batch to `out`, and returns 1.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace gannetcourse::wire
