--- a/src/grpc/server_connection.cpp
+++ b/src/grpc/server_connection.cpp
@@ -155,7 +155,7 @@
 }
 
 // ---- Responses and ends ----
-void ServerConnection::onDrained(http2::StreamId stream) {
+void ServerConnection::onOutputTaken(http2::StreamId stream) {
   ServerCall* const call = find(stream);
   if (call == nullptr || !call->onDrained) return;
   // Deferred: the handler will want to send, which the session does not allow inside its callbacks.
--- a/src/grpc/server_connection.h
+++ b/src/grpc/server_connection.h
@@ -34,7 +34,7 @@
   void onData(http2::StreamId stream, std::span<const std::uint8_t> bytes) override;
   void onRemoteEnd(http2::StreamId stream) override;
   void onStreamClosed(http2::StreamId stream, std::uint32_t code) override;
-  void onDrained(http2::StreamId stream) override;
+  void onOutputTaken(http2::StreamId stream) override;
   void onSessionClosed(const std::string& reason) override;
 
   ServerCall* find(http2::StreamId stream);
--- a/src/http1/client.cpp
+++ b/src/http1/client.cpp
@@ -43,7 +43,7 @@
   return call;
 }
 
-// At the end of this iteration: start() may not have returned the call's id to its owner yet.
+// Calls onEnd() at the end of this iteration: start() may not have returned the call's id to its caller yet.
 void Client::notifyEndLater(CallId call, std::shared_ptr<ResponseHandler> handler, CallResult result,
                             const std::string& reason) {
   pendingEnds_[call] = std::move(handler);
@@ -94,7 +94,7 @@
   return sum;
 }
 
-// Closes the connection that has been without a call for longest. False where all have one.
+// Closes the connection that has been without a call for the longest time. False if all of them have a call.
 bool Client::evictIdleConnection() {
   ClientConnection* oldest = nullptr;
   for (const auto& connection : connections_) {
@@ -127,7 +127,7 @@
 void Client::removeConnection(ClientConnection* connection) {
   const auto found = std::find_if(connections_.begin(), connections_.end(),
                                   [&](const auto& one) { return one.get() == connection; });
-  if (found == connections_.end()) return;  // removed before
+  if (found == connections_.end()) return;  // already removed
   calls_.erase(connection->call());
   const auto idle = idleConnections_.find(connection->endpoint());
   if (idle != idleConnections_.end()) {
--- a/src/http1/client.h
+++ b/src/http1/client.h
@@ -1,5 +1,6 @@
-// The client side of HTTP/1.1: a pool of connections, one call at a time on each, reused newest first. Never
-// retries, and does not know what the calls mean.
+// HTTP/1.1 client: a pool of connections to any number of servers. Each connection carries one call at a
+// time; the most recently used idle connection is reused first. Never retries and does not interpret the
+// messages.
 #pragma once
 
 #include <cstdint>
@@ -18,41 +19,41 @@
 
 namespace gannetcourse::http1 {
 
-/// Limits of a Client.
+/// Limits of a Client. Durations are in seconds.
 struct ClientOptions {
-  Limits limits;                      ///< Of each response.
-  std::size_t maxConnections = 256;   ///< To all servers together.
-  Duration connectTimeout{0.25};      ///< For a connection to be established.
-  Duration settleDelay{0.05};         ///< After a response, in case bytes that do not belong to it follow.
+  Limits limits;                      ///< Size limits of each response.
+  std::size_t maxConnections = 256;   ///< Maximum for all servers together.
+  Duration connectTimeout{0.25};      ///< Limit for establishing a connection.
+  Duration settleDelay{0.05};         ///< Wait after a response, to detect extra bytes before reuse.
   Duration idleTimeout{7};            ///< Closes an idle connection, well before its server would.
-  Duration partialMessageTimeout{3};  ///< From a head's or chunk's first byte to its last; then kMalformed.
+  Duration partialMessageTimeout{3};  ///< Limit for receiving one head or chunk; then kMalformed.
 };
 
 /// How a call ended.
 enum class CallResult {
   kComplete,               ///< The response is complete.
-  kNoConnectionAvailable,  ///< The pool is full, or this machine could not open a connection; nothing sent.
-  kNotConnected,           ///< Never established, or lost before the request's last byte was written.
-  kConnectionLost,         ///< Lost after that: the request may have run.
+  kNoConnectionAvailable,  ///< The pool is full, or this machine could not open one; nothing was sent.
+  kNotConnected,           ///< No connection established, or lost before the whole request was written.
+  kConnectionLost,         ///< Lost after the request was written: the server may have processed it.
   kMalformed               ///< The response cannot be parsed.
 };
 
-/// Receives a call's response. No function is called after onEnd(), nor after Client::cancel(); onEnd() is
-/// never called before Client::start() has returned.
+/// Receives a call's response. No function is called after onEnd() or Client::cancel(). onEnd() is never
+/// called before Client::start() has returned.
 class ResponseHandler {
  public:
   virtual ~ResponseHandler() = default;
   virtual void onHead(const ResponseHead& head) = 0;
   /// Called for each piece of the body as it arrives.
   virtual void onBody(std::string_view bytes) = 0;
-  /// `reason` is a short plain text for logs; empty where the call is complete.
+  /// `reason` is a short plain text for logs; empty for kComplete.
   virtual void onEnd(CallResult result, const std::string& reason) = 0;
 };
 
 using CallId = std::uint64_t;  ///< 0 = none.
 class ClientConnection;
 
-/// A pool of connections and the calls on them. For its loop's thread only.
+/// Owns the connections and the calls on them. May be used on its loop's thread only.
 class Client {
  public:
   Client(net::Loop& loop, const ClientOptions& options);
@@ -60,28 +61,29 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Returns a call's head, with its empty line. Called once, when the connection is established, so that
-  /// durations in it hold at the moment of sending.
+  /// Builds a request's head, including the empty line that ends it. Called once, immediately before the head
+  /// is sent, so that remaining times in its fields are current.
   using HeadMaker = std::function<std::string()>;
   /// Starts a call that sends the head and `body` (may be null). Every failure is reported to `handler`.
   CallId start(const net::Endpoint& to, HeadMaker makeHead, std::shared_ptr<const std::string> body,
                std::shared_ptr<ResponseHandler> handler);
-  /// Closes the call's connection.
+  /// Ends the call without notifying its handler, and closes its connection.
   void cancel(CallId call);
-  /// Ends the calls to `to` of which nothing has been sent yet, as kNotConnected.
+  /// Ends every call to `to` whose request has not been sent yet, with kNotConnected.
   void cancelUnsent(const net::Endpoint& to);
-  /// Leaves the response in the kernel while `paused`, so that the server has to wait.
+  /// While `paused`, does not read the response, so that TCP flow control stops the server.
   void pauseReading(CallId call, bool paused);
-  /// Closes idle connections to `to`, and others as soon as their call ends.
+  /// Closes the idle connections to `to` now, and the other ones when their call ends.
   void retireEndpoint(const net::Endpoint& to);
+  /// Undoes retireEndpoint(): connections to `to` are kept for reuse again.
   void restoreEndpoint(const net::Endpoint& to) { retiredEndpoints_.erase(to); }
   bool hasIdleConnection(const net::Endpoint& to) const;
   void setOptions(const ClientOptions& options) { options_ = options; }
 
   std::size_t connectionCount() const { return connections_.size(); }
-  std::size_t idleConnectionCount() const;  ///< Connections that a call may use at once.
+  std::size_t idleConnectionCount() const;  ///< Established connections that are ready for a call.
   std::uint64_t connectionsOpened() const { return connectionsOpened_; }
-  /// Calls for which this machine could not open a connection.
+  /// Calls that failed because this machine could not open a connection.
   std::uint64_t localConnectFailures() const { return localConnectFailures_; }
 
  private:
@@ -99,7 +101,7 @@
   std::list<std::shared_ptr<ClientConnection>> connections_;
   std::map<net::Endpoint, std::vector<ClientConnection*>> idleConnections_;  // newest last
   std::map<CallId, ClientConnection*> calls_;
-  std::map<CallId, std::shared_ptr<ResponseHandler>> pendingEnds_;  // notified at this iteration's end
+  std::map<CallId, std::shared_ptr<ResponseHandler>> pendingEnds_;  // onEnd() is due at this iteration's end
   std::set<net::Endpoint> retiredEndpoints_;
   CallId lastCall_ = 0;
   std::uint64_t connectionsOpened_ = 0;
--- a/src/http1/client_connection.cpp
+++ b/src/http1/client_connection.cpp
@@ -5,10 +5,10 @@
 namespace gannetcourse::http1 {
 namespace {
 
-// After a longer iteration of the loop the machine was stalled, and what it has not read yet may say that
-// the call is no longer wanted.
-const Duration kLongIteration{0.05};
-constexpr int kMaxSendDeferrals = 4;  // of one call
+// An iteration of the loop that lasts longer than this means that the process was stalled. Events that have
+// not been read yet may then show that the call is no longer needed.
+const Duration kStalledIterationThreshold{0.05};
+constexpr int kMaxSendDeferrals = 4;  // per call
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   body_ = std::move(body);
   requestSent_ = false;
   sendDeferrals_ = 0;
-  partStartedAt_.reset();
+  headOrChunkStartedAt_.reset();
   parser_ = std::make_unique<ResponseParser>(client_.options_.limits, parserCallbacks());
   if (connection_.isConnected()) sendRequest();
 }
@@ -65,7 +65,7 @@
 void ClientConnection::checkTimeouts(Instant now) {
   if (state_.isIdle() && now - lastResponseAt_ > client_.options_.idleTimeout) return close();
   if (state_.phase() != ClientPhase::kCallInProgress || connection_.isSuspended()) return;
-  if (partStartedAt_ && now - *partStartedAt_ > client_.options_.partialMessageTimeout)
+  if (headOrChunkStartedAt_ && now - *headOrChunkStartedAt_ > client_.options_.partialMessageTimeout)
     fail(CallResult::kMalformed, "a piece of its answer does not end");
 }
 
@@ -77,8 +77,8 @@
 
 void ClientConnection::pauseReading(bool paused) {
   connection_.suspend(paused);
-  // The time that reading was paused does not count against the server.
-  if (!paused && partStartedAt_) partStartedAt_ = client_.loop_.now();
+  // Time during which reading was paused does not count towards partialMessageTimeout.
+  if (!paused && headOrChunkStartedAt_) headOrChunkStartedAt_ = client_.loop_.now();
 }
 
 void ClientConnection::onConnected() {
@@ -87,7 +87,7 @@
 }
 
 void ClientConnection::sendRequest() {
-  const bool stalled = client_.loop_.exactNow() - client_.loop_.now() > kLongIteration;
+  const bool stalled = client_.loop_.exactNow() - client_.loop_.now() > kStalledIterationThreshold;
   if (stalled && sendDeferrals_ < kMaxSendDeferrals) return deferSend();
   requestSent_ = true;
   connection_.append(makeHead_());
@@ -97,8 +97,8 @@
   connection_.flush();
 }
 
-// Events that arrived meanwhile are read first: the client may have disconnected, or its deadline or the
-// engine's drain may have come.
+// Sends the request in the next iteration, after pending events have been handled: the client may have
+// disconnected, the deadline may have expired, or the engine may have started to drain.
 void ClientConnection::deferSend() {
   ++sendDeferrals_;
   client_.loop_.runAfter(net::Loop::kNextIteration,
@@ -112,17 +112,18 @@
   if (!state_.handle(ClientEvent::kBytesReceived)) return close();
   const ParseState parsed = parser_->consume({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
   if (state_.phase() != ClientPhase::kCallInProgress) return;
-  trackPartialPart();
+  trackIncompleteHeadOrChunk();
   if (parsed == ParseState::kMalformed) return fail(CallResult::kMalformed, "its answer cannot be read");
   if (parsed == ParseState::kComplete) finishResponse();
 }
 
-// Guards against a head or chunk that never ends, however steadily its bytes arrive.
-void ClientConnection::trackPartialPart() {
-  const bool newPart = partsSeen_ != parser_->partsStarted();
-  partsSeen_ = parser_->partsStarted();
-  if (!parser_->isInsidePart()) return partStartedAt_.reset();
-  if (newPart || !partStartedAt_) partStartedAt_ = client_.loop_.now();
+// Records when the incomplete head or chunk began. checkTimeouts() fails the call if it takes too long, even
+// if its bytes keep arriving.
+void ClientConnection::trackIncompleteHeadOrChunk() {
+  const bool hasNewStarted = headsAndChunksSeen_ != parser_->headsAndChunksStarted();
+  headsAndChunksSeen_ = parser_->headsAndChunksStarted();
+  if (!parser_->isInsideHeadOrChunk()) return headOrChunkStartedAt_.reset();
+  if (hasNewStarted || !headOrChunkStartedAt_) headOrChunkStartedAt_ = client_.loop_.now();
 }
 
 void ClientConnection::finishResponse() {
@@ -142,7 +143,7 @@
   if (handler) handler->onEnd(CallResult::kComplete, "");
 }
 
-// Nothing followed the response within the settle delay.
+// Called after the settle delay. Does nothing if the connection was closed meanwhile.
 void ClientConnection::becomeIdle() {
   if (state_.phase() != ClientPhase::kSettling) return;
   if (client_.isRetired(endpoint_)) return close();
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -1,5 +1,5 @@
-// One connection of a Client's pool: sends a call's request, passes its response on, and decides with the
-// state machine of connection_state.h whether it can be used again.
+// One connection of a Client's pool: sends a call's request, passes the response to the call's handler, and
+// determines with the state machine of connection_state.h whether the connection can be reused.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +15,37 @@
 
 namespace gannetcourse::http1 {
 
-/// Owned by its Client's pool, which removes it once it is closed; destroyed at the end of that iteration of
-/// the loop, so that it may close itself in its own callbacks.
+/// A connection to one server. Owned by its Client, which removes it once it is closed. It is destroyed at
+/// the end of that iteration of the loop, so that it may close itself in its own callbacks.
 class ClientConnection final : public net::ConnectionOwner,
                                public std::enable_shared_from_this<ClientConnection> {
  public:
   ClientConnection(Client& client, const net::Endpoint& endpoint);
 
-  /// Connects for a call; may have failed, and the call's end be scheduled, when this returns.
+  /// Connects and starts a call. If connecting fails at once, the call's onEnd() is scheduled on return.
   void open(CallId call, Client::HeadMaker makeHead, std::shared_ptr<const std::string> body,
             std::shared_ptr<ResponseHandler> handler);
   /// Starts a call on an idle connection; `body` may be null.
   void startCall(CallId call, Client::HeadMaker makeHead, std::shared_ptr<const std::string> body,
                  std::shared_ptr<ResponseHandler> handler);
 
-  /// Whether it can take another call. Reads what the kernel holds first, to notice that the peer closed.
+  /// Whether it can take another call. Reads pending input first, to detect that the server has closed.
   bool isUsable();
-  /// Drops the call without notifying its handler, and closes.
+  /// Closes the connection without notifying the call's handler.
   void cancel();
   void close();
-  /// Ends what has exceeded its time limit: an idle connection, or a head or chunk that does not end.
+  /// Closes the connection if it has been idle for too long. Fails the call if a head or chunk of its
+  /// response takes too long to arrive.
   void checkTimeouts(Instant now);
-  /// Ends a call of which nothing has been sent yet, as kNotConnected.
+  /// Ends the call with kNotConnected if its request has not been sent yet.
   void cancelUnsent();
   void pauseReading(bool paused);
 
   const net::Endpoint& endpoint() const { return endpoint_; }
   const ClientConnectionState& state() const { return state_; }
-  CallId call() const { return call_; }  ///< 0 = none in flight.
+  CallId call() const { return call_; }  ///< 0 = no call in flight.
   Instant lastResponseAt() const { return lastResponseAt_; }
-  /// To be called when a call is assigned to it, before startCall().
+  /// Marks an idle connection as in use. Must be called before startCall().
   void reserve() { state_.handle(ClientEvent::kCallStarted); }
 
  private:
@@ -57,7 +58,7 @@
   ResponseParser::Callbacks parserCallbacks();
   void sendRequest();
   void deferSend();
-  void trackPartialPart();
+  void trackIncompleteHeadOrChunk();
   void finishResponse();
   void becomeIdle();
   void fail(CallResult result, const std::string& reason);
@@ -70,13 +71,13 @@
   std::unique_ptr<ResponseParser> parser_;
   std::shared_ptr<ResponseHandler> handler_;  // null once the call has ended
   CallId call_ = 0;
-  Client::HeadMaker makeHead_;  // until the request is sent
+  Client::HeadMaker makeHead_;  // null once the request has been sent
   std::shared_ptr<const std::string> body_;
   bool requestSent_ = false;
   int sendDeferrals_ = 0;
   Instant lastResponseAt_{};
-  std::optional<Instant> partStartedAt_;  // of the head or chunk that is incomplete
-  std::uint64_t partsSeen_ = 0;           // heads and chunks started by then
+  std::optional<Instant> headOrChunkStartedAt_;  // empty between heads and chunks
+  std::uint64_t headsAndChunksSeen_ = 0;         // parser's count at the last update
 };
 
 }  // namespace gannetcourse::http1
--- a/src/http1/connection_state.cpp
+++ b/src/http1/connection_state.cpp
@@ -32,7 +32,7 @@
         return moveTo(ServerPhase::kFlushing, ServerAction::kRejectRequest);
       return moveTo(ServerPhase::kFlushing, ServerAction::kFlushOutput);
     case ServerEvent::kDrain:
-      // A new connection's first request may be in transit: it gets a response, not a close that crosses it.
+      // A new connection stays open: its first request may be in transit and must get a response.
       if (phase_ == ServerPhase::kIdle) return moveTo(ServerPhase::kFlushing, ServerAction::kFlushOutput);
       return ServerAction::kNone;
     default:
--- a/src/http1/parser.cpp
+++ b/src/http1/parser.cpp
@@ -12,27 +12,28 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 using ErrorCode = beast::error_code;
-using Text = beast::string_view;
-using Length = boost::optional<std::uint64_t>;
+using StringView = beast::string_view;
+using OptionalLength = boost::optional<std::uint64_t>;
 
-constexpr int kMaxInformational = 16;  // 1xx responses ahead of one
+constexpr int kMaxInformationalResponses = 16;  // 1xx responses before the final one
 constexpr std::string_view kChunkEnd = "\r\n";
 constexpr int kBadRequest = 400;
 constexpr int kContentTooLarge = 413;
 constexpr int kHeaderFieldsTooLarge = 431;
 constexpr int kSwitchingProtocols = 101;
 
-std::string textOf(Text text) { return std::string(text.data(), text.size()); }
+std::string toString(StringView text) { return std::string(text.data(), text.size()); }
 
 bool isInformational(int status) { return status / 100 == 1; }
 
-// What both directions share: collects fields, checks that lengths agree and that chunks keep their limit.
+// Base of the request and response parsers: collects header fields, rejects ambiguous message lengths, and
+// limits the size of a chunk.
 template <bool kIsRequest>
 class MessageParser : public http::basic_parser<kIsRequest> {
  public:
   explicit MessageParser(const Limits& limits) : limits_(limits) {
     this->header_limit(limits.maxHeadBytes);
-    this->body_limit(limits.maxBodyBytes > 0 ? Length(limits.maxBodyBytes) : Length());
+    this->body_limit(limits.maxBodyBytes > 0 ? OptionalLength(limits.maxBodyBytes) : OptionalLength());
     this->eager(true);
   }
 
@@ -40,12 +41,12 @@
   std::function<void(std::string_view)> onBody;
   std::function<void()> onHead;
   std::uint64_t chunkBytesLeft = 0;
-  std::uint64_t partsStarted = 0;  // the head, and chunks
+  std::uint64_t headsAndChunksStarted = 0;  // counts the head and each chunk
 
  protected:
-  void on_request_impl(http::verb, Text, Text, int, ErrorCode&) override {}
-  void on_response_impl(int, Text, int, ErrorCode&) override {}
-  void on_field_impl(http::field name, Text text, Text value, ErrorCode& error) override {
+  void on_request_impl(http::verb, StringView, StringView, int, ErrorCode&) override {}
+  void on_response_impl(int, StringView, int, ErrorCode&) override {}
+  void on_field_impl(http::field name, StringView text, StringView value, ErrorCode& error) override {
     if (name == http::field::content_length && ++lengthFields_ > 1) error = http::error::bad_content_length;
     if (name == http::field::transfer_encoding) {
       ++transferEncodings_;
@@ -53,23 +54,23 @@
         error = http::error::bad_transfer_encoding;
     }
     if (lengthFields_ > 0 && transferEncodings_ > 0) error = http::error::bad_content_length;
-    if (!error) fields.add(textOf(text), textOf(value));
+    if (!error) fields.add(toString(text), toString(value));
   }
   void on_header_impl(ErrorCode&) override {
-    ++partsStarted;
+    ++headsAndChunksStarted;
     if (onHead) onHead();
   }
-  void on_body_init_impl(const Length&, ErrorCode&) override {}
-  std::size_t on_body_impl(Text body, ErrorCode&) override {
+  void on_body_init_impl(const OptionalLength&, ErrorCode&) override {}
+  std::size_t on_body_impl(StringView body, ErrorCode&) override {
     if (onBody) onBody({body.data(), body.size()});
     return body.size();
   }
-  void on_chunk_header_impl(std::uint64_t size, Text, ErrorCode& error) override {
+  void on_chunk_header_impl(std::uint64_t size, StringView, ErrorCode& error) override {
     chunkBytesLeft = size;
-    ++partsStarted;
+    ++headsAndChunksStarted;
     if (limits_.maxBodyBytes > 0 && size > limits_.maxBodyBytes) error = http::error::body_limit;
   }
-  std::size_t on_chunk_body_impl(std::uint64_t remain, Text body, ErrorCode&) override {
+  std::size_t on_chunk_body_impl(std::uint64_t remain, StringView body, ErrorCode&) override {
     chunkBytesLeft = remain - body.size();
     if (onBody && !body.empty()) onBody({body.data(), body.size()});
     return body.size();
@@ -89,9 +90,9 @@
   std::string target;
 
  private:
-  void on_request_impl(http::verb, Text verb, Text path, int, ErrorCode&) override {
-    method = textOf(verb);
-    target = textOf(path);
+  void on_request_impl(http::verb, StringView verb, StringView path, int, ErrorCode&) override {
+    method = toString(verb);
+    target = toString(path);
   }
 };
 
@@ -101,10 +102,10 @@
   int status = 0;
 
  private:
-  void on_response_impl(int code, Text, int, ErrorCode&) override { status = code; }
+  void on_response_impl(int code, StringView, int, ErrorCode&) override { status = code; }
 };
 
-// Feeds `buffer` to the parser, and removes from it what was parsed.
+// Parses `buffer` up to the end of a message at most, and removes the parsed bytes from it.
 template <class Parser>
 ParseState feed(Parser& parser, std::string& buffer, ErrorCode& error) {
   std::size_t parsed = 0;
@@ -127,7 +128,7 @@
 }  // namespace
 
 bool equalsIgnoreCase(std::string_view a, std::string_view b) {
-  return beast::iequals(Text(a.data(), a.size()), Text(b.data(), b.size()));
+  return beast::iequals(StringView(a.data(), a.size()), StringView(b.data(), b.size()));
 }
 
 void Fields::add(std::string name, std::string value) {
@@ -149,9 +150,9 @@
 
 class RequestParser::Impl {
  public:
-  explicit Impl(const Limits& limits) : limits_(limits) { next(); }
+  explicit Impl(const Limits& limits) : limits_(limits) { startNextRequest(); }
 
-  void next() {
+  void startNextRequest() {
     message_.emplace(limits_);
     request_ = {};
     errorStatus_ = kBadRequest;
@@ -180,7 +181,7 @@
 
   Request& request() { return request_; }
   int errorStatus() const { return errorStatus_; }
-  bool started() const { return !buffer_.empty() || message_->got_some(); }
+  bool hasPartialRequest() const { return !buffer_.empty() || message_->got_some(); }
   std::uint64_t bufferedBytes() const { return buffer_.capacity() + request_.body.capacity(); }
   std::size_t unparsedBytes() const { return buffer_.size(); }
 
@@ -198,10 +199,10 @@
 ParseState RequestParser::parse() { return impl_->parse(); }
 Request& RequestParser::request() { return impl_->request(); }
 int RequestParser::errorStatus() const { return impl_->errorStatus(); }
-bool RequestParser::hasPartialRequest() const { return impl_->started(); }
+bool RequestParser::hasPartialRequest() const { return impl_->hasPartialRequest(); }
 std::uint64_t RequestParser::bufferedBytes() const { return impl_->bufferedBytes(); }
 std::size_t RequestParser::unparsedBytes() const { return impl_->unparsedBytes(); }
-void RequestParser::startNextRequest() { impl_->next(); }
+void RequestParser::startNextRequest() { impl_->startNextRequest(); }
 
 class ResponseParser::Impl {
  public:
@@ -225,13 +226,13 @@
     return state_;
   }
 
-  bool isInsidePart() const {
+  bool isInsideHeadOrChunk() const {
     if (state_ != ParseState::kNeedMore) return false;
     if (!message_->is_header_done()) return !buffer_.empty() || message_->got_some();
     return message_->chunkBytesLeft > 0 || !isBetweenChunks();
   }
 
-  std::uint64_t partsStarted() const { return message_->partsStarted; }
+  std::uint64_t headsAndChunksStarted() const { return message_->headsAndChunksStarted; }
 
   bool isConnectionReusable() const {
     return state_ == ParseState::kComplete && !hasTrailingBytes_ && message_->keep_alive();
@@ -250,14 +251,14 @@
   void skipInformational() {
     ++informationalSkipped_;
     const bool malformed =
-        message_->status == kSwitchingProtocols || informationalSkipped_ > kMaxInformational;
+        message_->status == kSwitchingProtocols || informationalSkipped_ > kMaxInformationalResponses;
     startMessage();
     state_ = malformed ? ParseState::kMalformed : ParseState::kNeedMore;
     parseAgain_ = !malformed && !buffer_.empty();
   }
 
-  // The parser leaves the line end behind a chunk in the buffer, as the start of what follows: alone it does
-  // not count as a part that has begun.
+  // Whether the buffer is empty or holds only the CRLF that ends a chunk, or its CR. Beast parses that CRLF
+  // together with the next chunk's header, so that it stays in the buffer; alone it does not begin a chunk.
   bool isBetweenChunks() const { return kChunkEnd.substr(0, buffer_.size()) == buffer_; }
 
   Limits limits_;
@@ -274,8 +275,8 @@
     : impl_(std::make_unique<Impl>(limits, std::move(callbacks))) {}
 ResponseParser::~ResponseParser() = default;
 ParseState ResponseParser::consume(std::string_view bytes) { return impl_->consume(bytes); }
-bool ResponseParser::isInsidePart() const { return impl_->isInsidePart(); }
-std::uint64_t ResponseParser::partsStarted() const { return impl_->partsStarted(); }
+bool ResponseParser::isInsideHeadOrChunk() const { return impl_->isInsideHeadOrChunk(); }
+std::uint64_t ResponseParser::headsAndChunksStarted() const { return impl_->headsAndChunksStarted(); }
 bool ResponseParser::isConnectionReusable() const { return impl_->isConnectionReusable(); }
 
 }  // namespace gannetcourse::http1
--- a/src/http1/parser.h
+++ b/src/http1/parser.h
@@ -1,4 +1,5 @@
-// Incremental parsing of HTTP/1.1 messages, for both sides, on Boost.Beast's parser. No sockets or clock.
+// Incremental parsers of HTTP/1.1 requests and responses, based on Boost.Beast. They use neither sockets nor
+// a clock.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +13,18 @@
 
 namespace gannetcourse::http1 {
 
-/// Limits of a message, in bytes.
+/// Size limits of a message, in bytes.
 struct Limits {
-  std::uint32_t maxHeadBytes = 16 * 1024;      ///< Of a head.
+  std::uint32_t maxHeadBytes = 16 * 1024;      ///< Of the start line and the header fields.
   std::uint64_t maxBodyBytes = 256 * 1024;     ///< Of a body, and of one chunk; 0 = unlimited.
-  std::size_t maxPipelinedBytes = 512 * 1024;  ///< That may wait behind a message.
+  std::size_t maxPipelinedBytes = 512 * 1024;  ///< Buffered behind a message.
 };
 
-/// Header fields in the order of arrival. Names are compared without case.
+/// Header fields in the order of arrival. Names are compared case-insensitively.
 class Fields {
  public:
   void add(std::string name, std::string value);
-  /// The first value under `name`, or null where the field is missing.
+  /// The value of the first field called `name`, or null if there is none.
   const std::string* find(std::string_view name) const;
   std::size_t count(std::string_view name) const;
   const std::vector<std::pair<std::string, std::string>>& all() const { return fields_; }
@@ -32,7 +33,7 @@
   std::vector<std::pair<std::string, std::string>> fields_;
 };
 
-/// Whether two field names are equal; case does not count.
+/// Whether two field names are equal, ignoring case.
 bool equalsIgnoreCase(std::string_view a, std::string_view b);
 
 /// A complete request.
@@ -46,8 +47,8 @@
 
 enum class ParseState { kNeedMore, kComplete, kMalformed };
 
-/// Parses one request after another. Lengths that are repeated, conflict, or stand beside a
-/// Transfer-Encoding are malformed: they may hide a request in a body (request smuggling).
+/// Parses one request after another. A request that repeats Content-Length or Transfer-Encoding, or has both,
+/// is malformed: it may hide another request in its body (request smuggling).
 class RequestParser {
  public:
   explicit RequestParser(Limits limits);
@@ -55,17 +56,17 @@
   RequestParser(const RequestParser&) = delete;
   RequestParser& operator=(const RequestParser&) = delete;
 
-  /// Buffers bytes for parse(). False, without buffering them, where the limits do not allow as many.
+  /// Buffers bytes for parse(). Returns false and buffers nothing if the limits would be exceeded.
   bool append(std::string_view bytes);
-  /// Parses what is buffered, up to the end of one request.
+  /// Parses the buffered bytes, at most to the end of one request.
   ParseState parse();
   /// The request; complete once parse() has returned kComplete. The caller may move it out.
   Request& request();
-  int errorStatus() const;              ///< HTTP status for a malformed request.
-  bool hasPartialRequest() const;       ///< Bytes of an incomplete request have arrived.
-  std::uint64_t bufferedBytes() const;  ///< Memory used for the request.
-  std::size_t unparsedBytes() const;    ///< Bytes not parsed as part of a request yet.
-  /// After kComplete: continues with the bytes that follow the request.
+  int errorStatus() const;              ///< HTTP status of the response to a malformed request.
+  bool hasPartialRequest() const;       ///< Some bytes of the next request have arrived.
+  std::uint64_t bufferedBytes() const;  ///< Memory allocated for the request.
+  std::size_t unparsedBytes() const;    ///< Buffered bytes that have not been parsed yet.
+  /// After kComplete: discards the request and continues with the bytes that follow it.
   void startNextRequest();
 
  private:
@@ -79,8 +80,8 @@
   Fields fields;
 };
 
-/// Parses one response and passes its body on as it arrives. Informational responses (1xx) ahead of it are
-/// skipped.
+/// Parses one response and passes its body on as it arrives. Skips informational responses (1xx) that precede
+/// it.
 class ResponseParser {
  public:
   /// Called from consume(); both must be set.
@@ -94,11 +95,11 @@
   ResponseParser& operator=(const ResponseParser&) = delete;
 
   ParseState consume(std::string_view bytes);
-  /// Whether a head or chunk has begun and not ended.
-  bool isInsidePart() const;
-  /// Heads and chunks begun so far.
-  std::uint64_t partsStarted() const;
-  /// Whether the response is complete, nothing follows it, and the server keeps the connection alive.
+  /// Whether a head or chunk has begun but is not complete.
+  bool isInsideHeadOrChunk() const;
+  /// Number of heads and chunks that have begun so far.
+  std::uint64_t headsAndChunksStarted() const;
+  /// Whether the response is complete, no bytes follow it, and the server keeps the connection alive.
   bool isConnectionReusable() const;
 
  private:
--- a/src/http1/server.cpp
+++ b/src/http1/server.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 const Duration kTimeoutCheckInterval{0.1};
-// How long accepting may fail before the listener is closed although connections may wait in its queue.
+// How long shutdown() retries accept() after failures before it closes the listener, which resets connections
+// that still wait in its queue.
 const Duration kAcceptQueueTimeout{2};
 const Duration kAcceptQueueRetryDelay{0.01};
 
@@ -65,11 +66,11 @@
   connections_.push_back(std::make_unique<ServerConnection>(*this, fd));
 }
 
-// False where no connection can be closed in favour of a new one. What the kernel holds of a request is read
-// before its connection is closed: with a complete request in it the connection is not idle.
+// Closes a connection to make room for a new one; false if none can be closed. Reads the candidate's pending
+// input first: a connection whose complete request is in it is not idle and stays open.
 bool Server::evictConnection() {
   for (std::size_t tries = connections_.size(); tries > 0; --tries) {
-    ServerConnection* const candidate = chooseEvictable();
+    ServerConnection* const candidate = chooseEvictionCandidate();
     if (candidate == nullptr) return false;
     if (candidate->readPendingRequest()) continue;
     if (candidate->isRemoved()) return true;  // reading showed that its client had disconnected
@@ -80,7 +81,7 @@
   return false;
 }
 
-ServerConnection* Server::chooseEvictable() const {
+ServerConnection* Server::chooseEvictionCandidate() const {
   ServerConnection* chosen = nullptr;
   for (const auto& connection : connections_) {
     if (!connection->isEvictable()) continue;
@@ -89,8 +90,8 @@
   return chosen;
 }
 
-// The action may close its connection or others: these leave the list at once, but are destroyed at the end
-// of this iteration.
+// Calls `action` for each connection. It may close any connection: a closed connection is removed from the
+// list at once, but destroyed at the end of this iteration.
 template <class Action>
 void Server::forEachConnection(const Action& action) {
   std::vector<ServerConnection*> snapshot;
@@ -127,7 +128,7 @@
   closeListener();
 }
 
-// Closing the listener resets the connections in its queue, so that these are accepted first.
+// Accepts the connections in the listener's queue first, because closing it resets them.
 void Server::closeListener() {
   if (!listener_.acceptPending() && loop_.now() < *closeListenerBy_) {
     loop_.runAfter(kAcceptQueueRetryDelay, [this, alive = alive_] {
@@ -137,7 +138,7 @@
   }
   closeListenerBy_.reset();
   listener_.close();
-  forEachConnection([](ServerConnection& connection) { connection.closeUnlessRequested(); });
+  forEachConnection([](ServerConnection& connection) { connection.closeUnlessRequestHasBegun(); });
 }
 
 std::size_t Server::busyCount() const {
--- a/src/http1/server.h
+++ b/src/http1/server.h
@@ -1,5 +1,5 @@
-// The server side of HTTP/1.1: a bounded number of connections, one request at a time on each, responses
-// complete or as a stream of chunks. Does not know what the requests mean.
+// HTTP/1.1 server: a bounded number of connections with one request at a time on each. A response is sent as
+// a whole or as a stream of chunks. Does not interpret the requests.
 #pragma once
 
 #include <functional>
@@ -16,38 +16,40 @@
 
 namespace gannetcourse::http1 {
 
-/// Limits of a Server.
+/// Limits of a Server. Durations are in seconds.
 struct ServerOptions {
-  Limits limits;                                      ///< Of each request.
-  std::size_t maxConnections = 512;                   ///< From all clients together.
-  std::uint64_t maxBufferedRequestBytes = 32U << 20;  ///< Of incomplete requests on all connections.
-  Duration requestTimeout{2.7};    ///< For a connection's first request, and for the rest of one begun.
-  Duration idleTimeout{15};        ///< Closes a connection between two requests.
+  Limits limits;                                      ///< Size limits of each request.
+  std::size_t maxConnections = 512;                   ///< Maximum for all clients together.
+  std::uint64_t maxBufferedRequestBytes = 32U << 20;  ///< Of requests being received, in total.
+  Duration requestTimeout{2.7};    ///< Limit for the first request to begin, and for each to arrive.
+  Duration idleTimeout{15};        ///< Closes a connection that is idle between two requests.
   Duration writeStallTimeout{20};  ///< Closes a connection whose client does not read its response.
-  Duration lingerTimeout{1};       ///< After our direction is shut down, for the client to close too.
+  Duration lingerTimeout{1};       ///< Wait for the client to close after we shut down our write side.
 };
 
-/// What became of connections, since the start.
+/// Counts of connections and requests since the server was created.
 struct ServerCounters {
   std::uint64_t accepted = 0;
-  std::uint64_t evicted = 0;        ///< Idle ones closed in favour of new ones.
-  std::uint64_t closedAtLimit = 0;  ///< New ones in favour of which none could be closed.
-  std::uint64_t rejected = 0;       ///< Requests that were malformed or did not arrive in time.
-  std::uint64_t timedOut = 0;       ///< Closed because a phase exceeded its time limit.
-  std::uint64_t abandoned = 0;      ///< Whose client disconnected before its response was complete.
+  std::uint64_t evicted = 0;        ///< Connections closed to make room for new ones.
+  std::uint64_t closedAtLimit = 0;  ///< New connections closed because none could be evicted.
+  std::uint64_t rejected = 0;       ///< Requests that were malformed, too large or too slow to arrive.
+  std::uint64_t timedOut = 0;       ///< Connections of which a phase exceeded its time limit.
+  std::uint64_t abandoned = 0;      ///< Connections lost or timed out before a response was complete.
 };
 
 class ServerConnection;
 
-/// A request and its one response. Shared with the handler, which may keep it; once the client has
-/// disconnected the functions do nothing.
+/// A request and its one response. Shared with the handler, which may store it. After the client has
+/// disconnected, its functions do nothing.
 class Exchange {
  public:
   explicit Exchange(ServerConnection* connection) : connection_(connection) {}
   Request request;
-  /// Called when the client disconnects before the response is complete.
+  /// Called when the connection is closed before the response is complete: the client disconnected, or did
+  /// not read the response.
   std::function<void()> onClientDisconnected;
-  /// Called with true when the client reads too slowly, with false when output may go on.
+  /// Called with true when too much output is pending because the client reads slowly, and with false when
+  /// sending may continue.
   std::function<void(bool)> onBackpressure;
 
   /// Sends a complete response. `fields` are lines that end with CRLF.
@@ -56,7 +58,8 @@
   void beginStream(std::string_view fields);
   void sendChunk(std::string_view bytes);
   void endStream();
-  /// Closes the connection without the last chunk, so that the client sees the response as incomplete.
+  /// Closes the connection without the last chunk, so that the client can detect that the response is
+  /// incomplete.
   void abortStream();
 
  private:
@@ -64,11 +67,12 @@
   ServerConnection* connection_;  // null once the response is complete or the client has disconnected
 };
 
-/// Listens, owns the connections and limits them. For its loop's thread only.
+/// Listens on an endpoint; owns the connections and limits their number. May be used on its loop's thread
+/// only.
 class Server {
  public:
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
-  /// Listens at once. Throws std::system_error where the address cannot be bound.
+  /// Starts listening. Throws std::system_error if the address cannot be bound.
   Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options, Handler handler);
   ~Server();
   Server(const Server&) = delete;
@@ -76,15 +80,15 @@
 
   std::uint16_t port() const { return listener_.port(); }
   void setOptions(const ServerOptions& options);
-  /// From now on each response ends its connection, and idle connections are ended.
+  /// Closes idle connections. Every other connection is closed after its next response.
   void drain();
-  /// Accepts what stands in the kernel's queue, then stops listening and ends the connections without a
-  /// request. busyCount() is 0 when all have ended.
+  /// Accepts the connections that wait in the kernel's queue, then stops listening and closes the connections
+  /// on which no request has begun. busyCount() is 0 when every connection has ended.
   void shutdown();
   std::size_t connectionCount() const { return connections_.size(); }
-  /// Connections that are not between two requests, and 1 for a listener that cannot be closed yet.
+  /// Connections that are receiving, responding or closing, plus 1 while the listener cannot be closed yet.
   std::size_t busyCount() const;
-  std::size_t unsentBytes() const;  ///< Of responses that the kernel has not accepted.
+  std::size_t unsentBytes() const;  ///< Response bytes that the kernel has not accepted yet.
   std::uint64_t failedAccepts() const { return listener_.failedAccepts(); }
   const ServerCounters& counters() const { return counters_; }
 
@@ -93,7 +97,7 @@
   using Connections = std::list<std::unique_ptr<ServerConnection>>;
   void accept(int fd);
   bool evictConnection();
-  ServerConnection* chooseEvictable() const;
+  ServerConnection* chooseEvictionCandidate() const;
   template <class Action>
   void forEachConnection(const Action& action);
   void checkTimeouts();
@@ -107,7 +111,7 @@
   Connections connections_;
   ServerCounters counters_;
   bool draining_ = false;
-  std::optional<Instant> closeListenerBy_;  // while shutdown() waits for the kernel's queue
+  std::optional<Instant> closeListenerBy_;  // set while shutdown() empties the accept queue
   net::TimerId timeoutCheckTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; for deferred tasks
   net::Listener listener_;
--- a/src/http1/server_connection.cpp
+++ b/src/http1/server_connection.cpp
@@ -14,7 +14,8 @@
 constexpr int kContentTooLarge = 413;
 constexpr int kServiceUnavailable = 503;
 
-// While less than this part of the pipeline's limit waits, the server's total is not computed.
+// isPipelineFull() computes the server's total only if the unparsed bytes are at least maxPipelinedBytes
+// divided by this.
 constexpr std::size_t kPipelineCheckDivisor = 8;
 
 const char* reasonPhrase(int status) {
@@ -114,10 +115,10 @@
   const ServerPhase before = state_.phase();
   const ServerAction action = state_.handle(event);
   if (state_.phase() != before) phaseStartedAt_ = server_.loop_.now();
-  perform(action, event);
+  performAction(action, event);
 }
 
-void ServerConnection::perform(ServerAction action, ServerEvent event) {
+void ServerConnection::performAction(ServerAction action, ServerEvent event) {
   switch (action) {
     case ServerAction::kDispatchRequest:
       return dispatchRequest();
@@ -199,7 +200,7 @@
   if (state_.phase() == ServerPhase::kIdle && isOutputFull()) return setReadingPaused(true);
   handleEvent(ServerEvent::kBytesReceived);
   parseInput();
-  // Answered at once: what follows the request is parsed in a later iteration.
+  // The handler has already responded; the bytes behind the request are parsed in a later iteration.
   if (state_.phase() == ServerPhase::kIdle) setReadingPaused(isPipelineFull());
 }
 
@@ -256,9 +257,9 @@
 }
 
 void ServerConnection::parsePipelined() {
-  if (isOutputFull()) return;  // onWritable() continues
+  if (isOutputFull()) return;  // onWritable() calls this again
   setReadingPaused(isPipelineFull());
-  // Resuming to read may have closed the connection or dispatched the request.
+  // Resumed reading may have closed the connection or dispatched the request.
   if (state_.phase() != ServerPhase::kIdle || !parser_.hasPartialRequest()) return;
   handleEvent(ServerEvent::kBytesReceived);
   parseInput();
@@ -277,7 +278,7 @@
   return requestsDispatched_ != before;
 }
 
-void ServerConnection::closeUnlessRequested() {
+void ServerConnection::closeUnlessRequestHasBegun() {
   if (state_.isBetweenRequests() && connection_.isConnected()) connection_.readNow();
   if (state_.isBetweenRequests()) handleEvent(ServerEvent::kTimedOut);
 }
--- a/src/http1/server_connection.h
+++ b/src/http1/server_connection.h
@@ -1,4 +1,5 @@
-// One connection from a client: feeds the state machine of connection_state.h and carries out its actions.
+// One connection from a client: passes events to the state machine of connection_state.h and performs the
+// actions that it returns.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +15,8 @@
 
 namespace gannetcourse::http1 {
 
-/// Owned by its Server, which removes it once it is closed; destroyed at the end of that iteration of the
-/// loop, so that it may close itself in its own callbacks.
+/// A connection accepted by a Server, which owns it and removes it once it is closed. It is destroyed at the
+/// end of that iteration of the loop, so that it may close itself in its own callbacks.
 class ServerConnection final : public net::ConnectionOwner {
  public:
   /// Takes over the accepted socket.
@@ -29,19 +30,20 @@
   void endStream();
   void abortStream() { finishResponse(true); }
 
-  // ---- For its server ----
-  /// Closes at once; its server removes it.
+  // ---- Called by its server ----
+  /// Closes at once and removes the connection from its server.
   void close();
   void drain() { handleEvent(ServerEvent::kDrain); }
-  /// Reads what the kernel holds. True where that completed a request, which has been dispatched.
+  /// Reads pending input. True if that completed a request; the request has then been dispatched.
   bool readPendingRequest();
-  /// Dispatches a request that the kernel holds already; without one the connection ends.
-  void closeUnlessRequested();
-  /// Ends the present phase where it has exceeded its time limit.
+  /// Reads pending input, and closes the connection if no request has begun.
+  void closeUnlessRequestHasBegun();
+  /// Ends the current phase if it has exceeded its time limit.
   void checkTimeouts(Instant now);
-  /// Whether it may be closed in favour of a new connection.
+  /// Whether it may be closed to make room for a new connection.
   bool isEvictable() const;
-  /// The least is evicted first: lingering ones, then those that never had a request, then the longest idle.
+  /// The connection with the lowest rank is evicted first: lingering ones, then those that have had no
+  /// request, then the one that has been in its phase for the longest time.
   std::tuple<bool, bool, Instant> evictionRank() const;
   bool isRemoved() const { return *removed_; }
   void markRemoved() { *removed_ = true; }
@@ -56,27 +58,27 @@
   void onPeerEnded() override { handleEvent(ServerEvent::kPeerClosed); }
   void onClosed(const std::string&) override { handleEvent(ServerEvent::kPeerClosed); }
 
-  // The one place where the state machine is driven and its actions are carried out.
+  // Passes the event to the state machine and performs its action. All events go through this function.
   void handleEvent(ServerEvent event);
-  void perform(ServerAction action, ServerEvent event);
+  void performAction(ServerAction action, ServerEvent event);
   Instant phaseDeadline() const;
 
-  // Whether the client leaves as much output unread as may wait. Until it reads on, its next request is not
-  // parsed, or responses would pile up here.
+  // Whether pending output has reached the watermark. The client's next request is then not parsed until the
+  // client reads, so that pending responses stay bounded.
   bool isOutputFull() const { return connection_.pendingBytes() >= net::Connection::kOutputWatermark; }
-  // Input after the last response, up to a bound.
+  // Discards input after the last response; closes the connection after more than limits.maxBodyBytes.
   void discardInput(std::size_t bytes);
-  // Parses what is buffered, up to the end of one request.
+  // Parses the buffered bytes, at most to the end of one request.
   void parseInput();
   void dispatchRequest();
   void rejectInput(int status);
   void sendRejection(int status);
-  // The response is complete, or aborted; `last`: the connection is not kept alive.
+  // Called when the response is complete or aborted. `last`: the connection is not kept alive.
   void finishResponse(bool last);
-  // Whether as much waits behind the request in progress as may. Reading on is what reveals a disconnect: an
-  // end that arrives behind bytes that nobody reads cannot be seen.
+  // Whether the bytes buffered behind the request in progress have reached their limit. Reading continues up
+  // to that limit, because a disconnect cannot be detected behind unread bytes.
   bool isPipelineFull() const;
-  // Parses a request whose bytes arrived while another was in progress.
+  // Parses a request whose bytes arrived while another request was in progress.
   void parsePipelined();
   void continueAfterFlush();
   void setReadingPaused(bool paused);
@@ -88,14 +90,14 @@
   RequestParser parser_;
   ServerConnectionState state_;
   std::shared_ptr<Exchange> exchange_;  // null while no request is in progress
-  // True once the server has removed it; shared with deferred tasks, which may outlive it.
+  // True once the server has removed this connection. Shared with deferred tasks, which may outlive it.
   std::shared_ptr<bool> removed_ = std::make_shared<bool>(false);
   bool keepAlive_ = true;
   bool hadRequest_ = false;
-  bool backpressure_ = false;  // the handler was notified that the client reads too slowly
+  bool backpressure_ = false;  // onBackpressure(true) was called last
   int rejectStatus_;
   Instant phaseStartedAt_;
-  Instant lastProgressAt_{};  // when the client last took output, or none was pending
+  Instant lastProgressAt_{};  // when output was last sent, or none was pending
   std::size_t lastPendingBytes_ = 0;
   std::uint64_t discardedBytes_ = 0;
   std::uint64_t requestsDispatched_ = 0;
--- a/src/http2/headers.h
+++ b/src/http2/headers.h
@@ -1,4 +1,4 @@
-// Header fields of HTTP/2.
+// Header fields of HTTP/2 messages.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 
 namespace gannetcourse::http2 {
 
-/// One field; pseudo-header fields keep their colon.
+/// One header field. Names of pseudo-header fields include the leading colon.
 struct Header {
   std::string name, value;
 };
 using Headers = std::vector<Header>;
 
-/// The first value under `name`, or null.
+/// The value of the first field called `name`, or null if there is none.
 const std::string* find(const Headers& headers, std::string_view name);
 
 }  // namespace gannetcourse::http2
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -12,7 +12,8 @@
 namespace gannetcourse::http2 {
 namespace {
 
-// Between the shutdown notice and the final GOAWAY: streams that the peer has opened meanwhile still arrive.
+// Time between the shutdown notice and the final GOAWAY, in which streams that the peer has already opened
+// can still arrive.
 const Duration kGoawayDelay{0.05};
 
 std::string errorText(ssize_t nghttp2Error) {
@@ -76,7 +77,7 @@
   const ssize_t consumedBytes = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
   insideNghttp2_ = false;
   if (closed_) return;
-  sendPendingFrames();  // after an error too: a GOAWAY with its reason may be due
+  sendPendingFrames();  // after an error too: nghttp2 may have queued a GOAWAY that states the reason
   if (consumedBytes < 0) fail(errorText(consumedBytes));
 }
 
@@ -90,7 +91,7 @@
     if (closed_) return;
     if (size < 0) return fail(errorText(size));
     if (size == 0) break;
-    // Many frames leave in one system call.
+    // Collects frames up to the watermark, to send many of them with one system call.
     connection_.append({bytes, static_cast<std::size_t>(size)});
     if (!connection_.wantsOutput()) connection_.flush();
     if (closed_) return;
@@ -110,7 +111,7 @@
 
 // ---- Streams ----
 Session::Stream* Session::find(StreamId id) {
-  if (id == cachedStreamId_) return cachedStream_;  // consecutive frames are often of one stream
+  if (id == cachedStreamId_) return cachedStream_;  // consecutive frames often belong to the same stream
   const auto found = streams_.find(id);
   if (found == streams_.end()) return nullptr;
   cachedStreamId_ = id;
@@ -126,9 +127,9 @@
 
 bool Session::canOpenStream() const {
   if (!isOpen() || draining_ || session_ == nullptr) return false;
-  const auto peersLimit =
+  const auto peerLimit =
       nghttp2_session_get_remote_settings(session_, NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS);
-  return streams_.size() < std::min(peersLimit, limits_.maxStreams) &&
+  return streams_.size() < std::min(peerLimit, limits_.maxStreams) &&
          nghttp2_session_check_request_allowed(session_) != 0;
 }
 
@@ -192,7 +193,7 @@
 void Session::reset(StreamId id, std::uint32_t code) {
   if (!isOpen() || find(id) == nullptr) return;
   nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, id, code);
-  sendPendingFrames();  // inside one of nghttp2's callbacks the frame follows right after it
+  sendPendingFrames();  // within an nghttp2 callback, the frame is sent right after the callback
 }
 
 void Session::consumed(StreamId id, std::size_t bytes) {
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -1,6 +1,6 @@
-// One HTTP/2 connection of either side: nghttp2 on a net::Connection. Flow control is passed on: what a
-// stream's owner has not consumed closes that stream's window and costs other streams nothing. Does not know
-// gRPC.
+// An HTTP/2 connection, as client or server: nghttp2 on top of net::Connection. Flow control is per stream:
+// bytes that the owner has not consumed reduce the window of their stream and do not delay other streams.
+// Independent of gRPC.
 #pragma once
 
 #include <array>
@@ -20,7 +20,7 @@
 
 using StreamId = std::int32_t;
 
-/// Error codes of RFC 9113, section 7, that are used by name.
+/// The error codes of RFC 9113, section 7, that this project refers to by name.
 enum ErrorCode : std::uint32_t {
   kNoError = 0x0,
   kInternalError = 0x2,
@@ -32,39 +32,42 @@
 
 /// Limits of one connection.
 struct Limits {
-  std::uint32_t streamWindow = 64 * 1024;        ///< Bytes that a peer may send on a stream unconsumed.
-  std::uint32_t connectionWindow = 1024 * 1024;  ///< ... and on all streams ahead of this loop.
-  std::uint32_t maxStreams = 1000;               ///< That the peer may have open.
-  std::size_t maxHeaderBytes = 16 * 1024;        ///< Of one header block, names and values.
+  std::uint32_t streamWindow = 64 * 1024;        ///< Bytes that the peer may send on a stream unconsumed.
+  std::uint32_t connectionWindow = 1024 * 1024;  ///< The same on all streams, until this loop has read them.
+  std::uint32_t maxStreams = 1000;               ///< Streams that may be open at a time.
+  std::size_t maxHeaderBytes = 16 * 1024;  ///< Size of one header block: names, values, 32 for each field.
 };
 
-/// Receives a session's events. The owner may call the session in these functions, but not destroy it.
+/// Receives a session's events. In these functions the owner may call the session, but must not destroy it.
 class SessionOwner {
  public:
   virtual ~SessionOwner() = default;
-  /// A client's connection is established.
+  /// Called on the client side when the connection is established.
   virtual void onSessionReady() {}
-  /// A header block: request, response or trailers. `overflow`: it exceeded the limit and was cut.
+  /// Called for each header block: request, response or trailers. `overflow`: the block exceeded
+  /// maxHeaderBytes and `headers` is incomplete.
   virtual void onHeaders(StreamId stream, Headers headers, bool overflow) = 0;
   virtual void onData(StreamId stream, std::span<const std::uint8_t> bytes) = 0;
-  /// The peer has ended its direction of the stream.
+  /// Called when the peer has ended its side of the stream.
   virtual void onRemoteEnd(StreamId stream) = 0;
-  /// Called once for each stream. On a client, kRefusedStream says that the peer has not processed it.
+  /// Called once for each stream. On the client side, kRefusedStream means that the peer has not processed
+  /// it.
   virtual void onStreamClosed(StreamId stream, std::uint32_t code) = 0;
-  /// The stream's pending output has been sent.
-  virtual void onDrained(StreamId) {}
-  /// The peer has sent GOAWAY: no new streams can be opened.
+  /// Called when nghttp2 has taken all of the stream's pending output.
+  virtual void onOutputTaken(StreamId) {}
+  /// Called when the peer has sent GOAWAY: no new streams can be opened.
   virtual void onGoaway() {}
-  /// The peer has acknowledged a PING.
+  /// Called when the peer has acknowledged a PING.
   virtual void onPong() {}
-  /// The peer sent a frame for a stream that had ended without an error.
+  /// Called when the peer sends HEADERS or DATA on a stream that was recently closed without an error.
   virtual void onStrayFrame(StreamId) {}
-  /// The session has ended; onStreamClosed() was called for every open stream before, with kInternalError.
+  /// Called when the session has ended, after onStreamClosed() with kInternalError for every open stream.
   /// `reason` is a short plain text for logs.
   virtual void onSessionClosed(const std::string& reason) = 0;
 };
 
-/// One HTTP/2 connection. For its loop's thread only.
+/// One HTTP/2 connection. Owns the socket and the streams' pending output. May be used on its loop's thread
+/// only.
 class Session final : private net::ConnectionOwner {
  public:
   enum class Side { kServer, kClient };
@@ -75,53 +78,53 @@
 
   /// Takes over an accepted socket.
   void adopt(int fd);
-  /// Connects; onSessionReady() or onSessionClosed() follows, the latter also after `timeout`.
+  /// Starts connecting. Calls onSessionReady(), or onSessionClosed() on failure and after `timeout` seconds.
   void connect(const net::Endpoint& to, Duration timeout);
 
-  /// Opens a client's stream with a complete request; 0 where no stream can be opened.
+  /// Client side: opens a stream with a complete request. Returns 0 if no stream can be opened.
   StreamId request(const Headers& headers, std::string_view body);
-  /// Sends a response's headers; send() and finish() follow.
+  /// Sends the headers of a response. To be followed by send() and finish().
   void respond(StreamId stream, const Headers& headers);
   /// Sends headers that end the stream.
   void respondHeadersOnly(StreamId stream, const Headers& headers);
-  /// Sends `head` and then `bytes` as body. Returns the stream's pending bytes, 0 where it accepts none.
+  /// Sends `head` and then `bytes` as body. Returns the stream's pending bytes, or 0 if it accepts no output.
   std::size_t send(StreamId stream, std::string_view head, std::string_view bytes);
-  /// Ends the stream after its pending output.
+  /// Ends our side of the stream after its pending output, with `trailers` if there are any.
   void finish(StreamId stream, const Headers& trailers);
-  /// The peer's further input on the stream is not wanted: once our direction has ended the stream is reset,
-  /// without an error.
+  /// Declares that the peer's remaining input on the stream is not needed: the stream is reset with kNoError
+  /// once our side of it has ended.
   void discardRemainingInput(StreamId stream);
-  /// Resets the stream at once: the frame precedes everything that is submitted after this call.
+  /// Resets the stream at once: RST_STREAM is sent before any frame that is submitted after this call.
   void reset(StreamId stream, std::uint32_t code);
-  /// The owner has consumed `bytes` of a stream: the peer may send as many more.
+  /// Reports that the owner has consumed `bytes` of a stream; the peer may send as many more.
   void consumed(StreamId stream, std::size_t bytes);
-  /// Bytes of the stream's body that are not in the connection's output yet.
+  /// Bytes of the stream's body that nghttp2 has not taken yet.
   std::size_t pendingBytes(StreamId stream) const;
 
   void ping();
-  /// Graceful shutdown: open streams end first.
+  /// Starts a graceful shutdown: no new streams; open streams may finish.
   void goaway();
   /// Closes at once without notifying the owner.
   void close();
-  /// The same with a RST.
+  /// Closes at once with a TCP RST, without notifying the owner.
   void abort();
   /// Closes at once and notifies the owner.
   void fail(const std::string& reason);
   bool isOpen() const { return connection_.isOpen() && !closed_; }
   bool closedByPeer() const { return closedByPeer_; }  ///< The peer closed or reset the connection.
-  bool canOpenStream() const;                          ///< A client may open one more stream.
+  bool canOpenStream() const;                          ///< Client side: another stream can be opened.
   Instant lastReceivedAt() const { return lastReceivedAt_; }
   net::Connection& connection() { return connection_; }
 
  private:
   struct Stream {
-    Headers headers;  // of the block that is being received
+    Headers headers;  // of the header block that is being received
     std::size_t headerBytes = 0;
     bool headersOverflow = false;
     std::string output;
     std::size_t outputOffset = 0;  // bytes at the start of output that nghttp2 has taken
-    bool outputEnded = false;      // nothing is added to output any more
-    bool outputDeferred = false;   // nghttp2 waits for resumeOutput()
+    bool outputEnded = false;      // nothing will be added to output
+    bool outputDeferred = false;   // nghttp2 reads output again after resumeOutput()
     bool discardInput = false;
     Headers trailers;
   };
@@ -138,9 +141,9 @@
   Stream* findAcceptingOutput(StreamId id);
   void startSession();
   void submitSettings();
-  // Moves frames from nghttp2 to the connection while that wants output.
+  // Moves frames from nghttp2 to the connection while its pending output is below the watermark.
   void sendPendingFrames();
-  // The same, once at the end of the loop's iteration.
+  // Calls sendPendingFrames() at the end of the loop's iteration, once for any number of calls.
   void scheduleSend();
   void submitResponse(StreamId id, const Headers& headers);
   void resumeOutput(StreamId id, Stream& stream);
@@ -154,12 +157,12 @@
   net::Connection connection_;
   nghttp2_session* session_ = nullptr;
   std::unordered_map<StreamId, Stream> streams_;
-  std::array<StreamId, 32> recentlyClosed_{};  // ring of streams without an error, to notice stray frames
+  std::array<StreamId, 32> recentlyClosed_{};  // ring buffer of streams without an error; finds stray frames
   std::size_t recentlyClosedCount_ = 0;
-  StreamId cachedStreamId_ = -1;  // of the stream that was found last; -1 = none
+  StreamId cachedStreamId_ = -1;  // of the last result of find(); -1 = none
   Stream* cachedStream_ = nullptr;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; for deferred tasks
-  bool insideNghttp2_ = false;  // in a call of nghttp2, which must not be entered again
+  bool insideNghttp2_ = false;  // in a call of nghttp2, which is not reentrant
   bool sendScheduled_ = false;
   bool draining_ = false;
   bool closed_ = false;
--- a/src/http2/session_callbacks.cpp
+++ b/src/http2/session_callbacks.cpp
@@ -7,8 +7,8 @@
 namespace gannetcourse::http2 {
 namespace {
 
-constexpr std::size_t kFloodFactor = 8;  // a header block this many times the limit ends the connection
-constexpr std::size_t kFieldOverheadBytes = 32;  // counted for each field, RFC 9113, section 6.5.2
+constexpr std::size_t kFloodFactor = 8;  // header blocks over this many times the limit end the connection
+constexpr std::size_t kFieldOverheadBytes = 32;  // added for each field, RFC 9113, section 6.5.2
 
 bool endsStream(const nghttp2_frame* frame) { return (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0; }
 
@@ -27,9 +27,9 @@
 
 int Session::Callbacks::onBeginFrame(nghttp2_session*, const nghttp2_frame_hd* frame, void* user) {
   Session& self = sessionOf(user);
-  const bool carriesMessage = frame->type == NGHTTP2_HEADERS || frame->type == NGHTTP2_DATA;
+  const bool isHeadersOrData = frame->type == NGHTTP2_HEADERS || frame->type == NGHTTP2_DATA;
   const auto& closed = self.recentlyClosed_;
-  if (carriesMessage && std::find(closed.begin(), closed.end(), frame->stream_id) != closed.end())
+  if (isHeadersOrData && std::find(closed.begin(), closed.end(), frame->stream_id) != closed.end())
     self.owner_.onStrayFrame(frame->stream_id);
   return 0;
 }
@@ -110,8 +110,8 @@
 
 int Session::Callbacks::onFrameSent(nghttp2_session* session, const nghttp2_frame* frame, void* user) {
   const Stream* stream = sessionOf(user).find(frame->hd.stream_id);
-  const bool carriesMessage = frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA;
-  if (endsStream(frame) && carriesMessage && stream != nullptr && stream->discardInput)
+  const bool isHeadersOrData = frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA;
+  if (endsStream(frame) && isHeadersOrData && stream != nullptr && stream->discardInput)
     nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, frame->hd.stream_id, NGHTTP2_NO_ERROR);
   return 0;
 }
@@ -141,22 +141,22 @@
     stream->outputDeferred = true;
     return NGHTTP2_ERR_DEFERRED;
   }
-  if (isEmpty) self.owner_.onDrained(id);
+  if (isEmpty) self.owner_.onOutputTaken(id);
   return static_cast<ssize_t>(size);
 }
 
 const nghttp2_session_callbacks* Session::Callbacks::table() {
   static const nghttp2_session_callbacks* const kTable = [] {
-    nghttp2_session_callbacks* made = nullptr;
-    if (nghttp2_session_callbacks_new(&made) != 0) throw std::bad_alloc();
-    nghttp2_session_callbacks_set_on_begin_headers_callback(made, onBeginHeaders);
-    nghttp2_session_callbacks_set_on_header_callback(made, onHeader);
-    nghttp2_session_callbacks_set_on_frame_recv_callback(made, onFrame);
-    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(made, onDataChunk);
-    nghttp2_session_callbacks_set_on_stream_close_callback(made, onStreamClose);
-    nghttp2_session_callbacks_set_on_frame_send_callback(made, onFrameSent);
-    nghttp2_session_callbacks_set_on_begin_frame_callback(made, onBeginFrame);
-    return made;
+    nghttp2_session_callbacks* callbacks = nullptr;
+    if (nghttp2_session_callbacks_new(&callbacks) != 0) throw std::bad_alloc();
+    nghttp2_session_callbacks_set_on_begin_headers_callback(callbacks, onBeginHeaders);
+    nghttp2_session_callbacks_set_on_header_callback(callbacks, onHeader);
+    nghttp2_session_callbacks_set_on_frame_recv_callback(callbacks, onFrame);
+    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(callbacks, onDataChunk);
+    nghttp2_session_callbacks_set_on_stream_close_callback(callbacks, onStreamClose);
+    nghttp2_session_callbacks_set_on_frame_send_callback(callbacks, onFrameSent);
+    nghttp2_session_callbacks_set_on_begin_frame_callback(callbacks, onBeginFrame);
+    return callbacks;
   }();
   return kTable;
 }
--- a/src/http2/session_callbacks.h
+++ b/src/http2/session_callbacks.h
@@ -1,4 +1,4 @@
-// What nghttp2 calls on a Session. Included by the session's own source files only.
+// The nghttp2 callbacks of a Session. To be included by the session's source files only.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -9,10 +9,10 @@
 
 namespace gannetcourse::http2 {
 
-/// The fields as nghttp2 takes them; they refer to `headers`.
+/// Converts header fields for nghttp2. The result refers to the strings in `headers`.
 std::vector<nghttp2_nv> nghttp2Fields(const Headers& headers);
 
-/// Each function finds its session by the user pointer and passes the event on.
+/// The callback functions. Each gets its Session from the user pointer and passes the event to it.
 struct Session::Callbacks {
   static Session& sessionOf(void* user) { return *static_cast<Session*>(user); }
 
@@ -26,11 +26,11 @@
                          const std::uint8_t* bytes, std::size_t size, void* user);
   static int onStreamClose(nghttp2_session*, std::int32_t id, std::uint32_t code, void* user);
   static int onFrameSent(nghttp2_session* session, const nghttp2_frame* frame, void* user);
-  /// Gives a stream's pending output to nghttp2.
+  /// Copies a stream's pending output into nghttp2's buffer.
   static ssize_t readBody(nghttp2_session* session, std::int32_t id, std::uint8_t* into, std::size_t maxBytes,
                           std::uint32_t* flags, nghttp2_data_source*, void* user);
 
-  /// The table of these functions, made once. Throws std::bad_alloc.
+  /// The table of these functions; created on the first call. Throws std::bad_alloc.
   static const nghttp2_session_callbacks* table();
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -14,11 +14,11 @@
 namespace gannetcourse::net {
 namespace {
 
-const Duration kConnectRetryDelay{0.01};   // after this machine could not open a connection
-const Duration kTransferRetryDelay{0.01};  // after the kernel had no memory for bytes
+const Duration kConnectRetryDelay{0.01};   // after a connection could not be opened locally
+const Duration kTransferRetryDelay{0.01};  // after the kernel lacked memory to send or receive
 constexpr std::size_t kReadBufferBytes = 16384;
 
-// Small writes go out at once (no Nagle delay).
+// Sends small writes at once, without the delay of Nagle's algorithm.
 void disableNagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -51,7 +51,7 @@
   disableNagle(fd);
   const bool connected = ::connect(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) == 0;
   const int error = connected ? 0 : errno;
-  // A connect that a signal interrupted goes on, as every non-blocking one does.
+  // After EINTR, as after EINPROGRESS, the kernel continues to establish the connection.
   if (error != 0 && error != EINPROGRESS && error != EINTR) {
     ::close(fd);
     if (isLocalFault(error)) return scheduleConnectRetry(error);
@@ -62,7 +62,7 @@
   loop_.watch(fd_, this);
 }
 
-// The peer has not been contacted yet: the connection may still be established in time.
+// Retries a local failure until connect() times out. Nothing has been sent to the peer yet.
 void Connection::scheduleConnectRetry(int error) {
   if (!isLocalFault(error)) return fail(std::string("socket: ") + std::strerror(error));
   connectFailedLocally_ = true;
@@ -87,7 +87,7 @@
     if (!ready.writable) return;
     finishConnect();
   }
-  if (ready.ended && isConnected()) owner_.onPeerEnded();
+  if (ready.peerEnded && isConnected()) owner_.onPeerEnded();
   if (ready.readable) readAvailable();
   if (ready.writable && isConnected() && !suspended_) {
     flush();
@@ -97,7 +97,7 @@
 
 // ---- Reading ----
 void Connection::readAvailable() {
-  if (insideRead_) return;  // called by the owner from onBytes()
+  if (insideRead_) return;  // the owner called it from onBytes()
   insideRead_ = true;
   std::array<std::uint8_t, kReadBufferBytes> buffer;
   std::size_t budget = kReadBudget;
@@ -121,12 +121,13 @@
 }
 
 void Connection::handleReadError(int error) {
-  if (lacksMemory(error)) return scheduleRead(kTransferRetryDelay);
+  if (isMemoryShortage(error)) return scheduleRead(kTransferRetryDelay);
   if (error != EAGAIN) fail(std::string("read: ") + std::strerror(error));
 }
 
-// A peer that sends faster than its bytes are handled must not starve the others. The edge of epoll has been
-// consumed, so that a timer of our own reads the rest in the next iteration.
+// Continues reading after `delay`: after the read budget was used up, so that a fast peer does not starve
+// other connections, or after a shortage of memory. A timer is needed because edge-triggered epoll does not
+// report the remaining input again.
 void Connection::scheduleRead(Duration delay) {
   if (readTimer_ != 0) return;
   readTimer_ = loop_.runAfter(delay, [this] {
@@ -164,8 +165,9 @@
       continue;
     }
     if (errno == EINTR) continue;
-    if (!lacksMemory(errno) && errno != EAGAIN) return fail(std::string("write: ") + std::strerror(errno));
-    if (lacksMemory(errno)) scheduleFlush();
+    if (!isMemoryShortage(errno) && errno != EAGAIN)
+      return fail(std::string("write: ") + std::strerror(errno));
+    if (isMemoryShortage(errno)) scheduleFlush();
     break;
   }
   discardSentOutput();
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,4 +1,4 @@
-// Non-blocking TCP connections with buffered output. Does not know which protocol they carry.
+// Non-blocking TCP connections with buffered output, independent of the protocol on them.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,30 @@
 
 namespace gannetcourse::net {
 
-/// Receives a connection's events. The owner may close the connection in these functions, but not destroy it;
-/// it destroys it from a deferred task.
+/// Receives a connection's events. In these functions the owner may close the connection, but must not
+/// destroy it. It may destroy the connection in a deferred task; see Loop::defer().
 class ConnectionOwner {
  public:
   virtual ~ConnectionOwner() = default;
   virtual void onConnected() {}
   virtual void onBytes(std::span<const std::uint8_t> bytes) = 0;
-  /// Pending output has fallen below the watermark.
+  /// Called when pending output is below kOutputWatermark and more can be appended.
   virtual void onWritable() = 0;
-  /// The peer has shut down its direction; called before its last bytes are read, reading paused or not.
+  /// Called when the peer has shut down its write side, before its last bytes are read and even while reading
+  /// is paused.
   virtual void onPeerEnded() {}
   /// Called once when the connection fails or the peer closes, but not after close() or abort(). `reason` is
   /// a short plain text for logs.
   virtual void onClosed(const std::string& reason) = 0;
 };
 
-/// One TCP connection, accepted or opened here. For its loop's thread only.
+/// One TCP connection, either accepted or opened by connect(). Owns its socket. May be used on its loop's
+/// thread only.
 class Connection : private Watcher {
  public:
-  /// Pending output from which the owner should wait for onWritable(), bytes.
+  /// Pending output, in bytes, at which the owner should wait for onWritable() before it appends more.
   static constexpr std::size_t kOutputWatermark = 64 * 1024;
-  /// Bytes read in one iteration of the loop, so that other connections are served too.
+  /// Maximum of bytes read in one iteration of the loop, so that other connections are not starved.
   static constexpr std::size_t kReadBudget = 256 * 1024;
 
   Connection(Loop& loop, ConnectionOwner& owner) : loop_(loop), owner_(owner) {}
@@ -42,19 +44,19 @@
 
   /// Takes over an accepted socket.
   void adopt(int fd);
-  /// Starts connecting; onConnected() or onClosed() follows, the latter also after `timeout`. Where this
-  /// machine cannot open a connection for the moment (no descriptor, port, route or memory) it is retried
-  /// until then.
+  /// Starts connecting. The owner's onConnected() or onClosed() is called later, or onClosed() at once if
+  /// connecting fails at once. The limit is `timeout` seconds. Until then, connecting is retried while this
+  /// machine cannot open a connection (no descriptor, port, route or memory).
   void connect(const Endpoint& to, Duration timeout);
-  /// Whether connecting failed because of this machine: the peer has seen nothing of it.
+  /// Whether connecting failed because of this machine, before anything was sent to the peer.
   bool failedLocally() const { return connectFailedLocally_; }
 
   bool isOpen() const { return fd_ >= 0 || connecting_; }
   bool isConnected() const { return fd_ >= 0 && !connecting_; }
   bool wantsOutput() const { return isConnected() && pendingBytes() < kOutputWatermark; }
-  /// Output that the kernel has not accepted yet.
+  /// Bytes of output that the kernel has not accepted yet.
   std::size_t pendingBytes() const { return output_.size() - outputOffset_; }
-  /// Adds to the pending output.
+  /// Adds to the pending output without sending it.
   void append(std::string_view bytes);
   void append(std::span<const std::uint8_t> bytes);
   /// Sends as much of the pending output as the kernel accepts.
@@ -64,16 +66,17 @@
   void close();
   /// Closes at once, with a RST.
   void abort();
-  /// Shuts down our direction; reading goes on. To be called when no output is pending.
+  /// Shuts down our write side; reading continues. Must be called only when no output is pending.
   void shutdownWrite();
 
-  /// Stops reading and writing, like a machine that fell silent: the kernel keeps what arrives.
+  /// While `suspended`, neither reads nor writes, as if this process did not respond; the kernel buffers
+  /// input.
   void suspend(bool suspended);
   bool isSuspended() const { return suspended_; }
-  /// Leaves input in the kernel, so that the peer has to wait; writing goes on.
+  /// While `paused`, does not read, so that TCP flow control stops the peer; writing continues.
   void pauseReading(bool paused);
   bool isReadingPaused() const { return readingPaused_; }
-  /// Reads what the kernel holds now, even if suspended or paused, and whether or not an event announced it.
+  /// Reads the available input now, without waiting for an epoll event, even while suspended or paused.
   void readNow();
 
  private:
@@ -96,7 +99,7 @@
   bool connecting_ = false;
   bool suspended_ = false;
   bool readingPaused_ = false;
-  bool insideRead_ = false;     // in readAvailable(), which must not be entered again
+  bool insideRead_ = false;     // in readAvailable(), which is not reentrant
   bool readingForced_ = false;  // in readNow()
   bool connectFailedLocally_ = false;
   Endpoint remoteEndpoint_;  // while connecting
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -1,4 +1,4 @@
-// IPv4 endpoints.
+// IPv4 endpoints and their conversions from text and to socket addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,10 +18,10 @@
   std::string text() const { return host + ":" + std::to_string(port); }
 };
 
-/// Nothing where the text is not "a.b.c.d:port".
+/// Parses "a.b.c.d:port"; std::nullopt for any other text.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
-/// The endpoint as the socket calls take it; nothing where its host is not a dotted quad.
+/// The address for the socket functions; std::nullopt if the host is not a dotted quad.
 std::optional<sockaddr_in> socketAddress(const Endpoint& endpoint);
 
 }  // namespace gannetcourse::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr int kBacklog = 4096;
-const Duration kInitialAcceptRetryDelay{0.01};  // doubles with each failure
+const Duration kInitialAcceptRetryDelay{0.01};  // doubled after each failure
 const Duration kMaxAcceptRetryDelay{0.1};
-constexpr int kMaxFailedAccepts = 16;  // in a row, before the loop serves others
+constexpr int kMaxConsecutiveFailures = 16;  // before accepting is retried after a delay
 
-// A socket that is bound to the address, whose port is filled in; -1 with errno where that fails.
+// Returns a socket bound to `address` and sets the port in `address`; -1 with errno on failure.
 int bindSocket(sockaddr_in& address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
@@ -35,16 +35,17 @@
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const Endpoint& on, Accept accept)
-    : loop_(loop), accept_(std::move(accept)), acceptRetryDelay_(kInitialAcceptRetryDelay) {
+Listener::Listener(Loop& loop, const Endpoint& on, AcceptHandler acceptHandler)
+    : loop_(loop), acceptHandler_(std::move(acceptHandler)), acceptRetryDelay_(kInitialAcceptRetryDelay) {
   auto address = socketAddress(on);
-  // A port that the kernel chose is bound a second time by its number: only then it stays ours while
-  // connections are rejected.
-  const int portChooser = address && on.port == 0 ? bindSocket(*address) : -1;
+  // With port 0, the first socket only obtains a port from the kernel; the listening socket is then bound to
+  // that port by number. Otherwise the port would be released while rejectConnections() shuts the socket
+  // down.
+  const int ephemeralPortFd = address && on.port == 0 ? bindSocket(*address) : -1;
   fd_ = address ? bindSocket(*address) : -1;
   const bool listens = fd_ >= 0 && listen(fd_, kBacklog) == 0;
   const int error = address ? errno : EINVAL;
-  if (portChooser >= 0) ::close(portChooser);
+  if (ephemeralPortFd >= 0) ::close(ephemeralPortFd);
   if (!listens) {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     throw std::system_error(error, std::generic_category(), "cannot listen on " + on.text());
@@ -62,16 +63,16 @@
     if (fd >= 0) {
       failures = 0;
       acceptRetryDelay_ = kInitialAcceptRetryDelay;
-      accept_(fd);
+      acceptHandler_(fd);
       continue;
     }
     if (errno == EAGAIN) return true;
     if (errno == EINTR || errno == ECONNABORTED) continue;
     ++failedAccepts_;
-    // An error of the next connection has taken it off the queue, and the others are still there. Without a
-    // descriptor or memory the kernel keeps them all.
-    const bool isConnectionsFault = !isLocalFault(errno);
-    if (isConnectionsFault && ++failures < kMaxFailedAccepts) continue;
+    // An error of the connection itself removes it from the queue, so that the next one can be accepted at
+    // once. After a local fault, such as a lack of descriptors or memory, all connections stay in the queue.
+    const bool isConnectionError = !isLocalFault(errno);
+    if (isConnectionError && ++failures < kMaxConsecutiveFailures) continue;
     scheduleAcceptRetry();
     return false;
   }
@@ -90,8 +91,8 @@
 void Listener::rejectConnections(bool rejecting) {
   if (fd_ < 0 || rejecting_ == rejecting) return;
   rejecting_ = rejecting;
-  // A listening socket that is shut down keeps its port and answers connects with a RST, until it listens
-  // again.
+  // After shutdown() a listening socket keeps its port, and the kernel answers connects with a RST until
+  // listen() is called again.
   if (rejecting) {
     loop_.unwatch(fd_);
     shutdown(fd_, SHUT_RD);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// Accepts TCP connections.
+// A listening TCP socket that accepts connections.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,24 @@
 
 namespace gannetcourse::net {
 
-/// Accepts connections on a port of this machine; port 0 lets the kernel choose. For its loop's thread only.
+/// Accepts connections on an endpoint of this machine; with port 0 the kernel chooses the port. Owns the
+/// listening socket. May be used on its loop's thread only.
 class Listener : private Watcher {
  public:
-  /// Receives an accepted, non-blocking socket, which it owns from then on.
-  using Accept = std::function<void(int fd)>;
-  /// Listens at once. Throws std::system_error where the address cannot be bound.
-  Listener(Loop& loop, const Endpoint& on, Accept accept);
+  /// Takes ownership of an accepted, non-blocking socket.
+  using AcceptHandler = std::function<void(int fd)>;
+  /// Starts listening. Throws std::system_error if the address cannot be bound.
+  Listener(Loop& loop, const Endpoint& on, AcceptHandler acceptHandler);
   ~Listener() override { close(); }
   std::uint16_t port() const { return port_; }
-  /// Leaves new connections in the kernel's queue.
+  /// While `paused`, leaves new connections in the kernel's queue.
   void pause(bool paused);
-  /// Behaves like a machine on which the process does not run: connects are refused, but the port stays ours.
+  /// While `rejecting`, connects are refused as if no process listened, but the port stays reserved.
   void rejectConnections(bool rejecting);
-  /// Accepts what stands in the kernel's queue now. False where accepting failed, so that some may remain.
+  /// Accepts the connections in the kernel's queue. False if accepting failed, so that some may remain there.
   bool acceptPending() { return acceptUntilEmpty(); }
   void close();
+  /// Number of accept() calls that failed, not counting EAGAIN, EINTR and ECONNABORTED.
   std::uint64_t failedAccepts() const { return failedAccepts_; }
 
  private:
@@ -33,7 +35,7 @@
   void scheduleAcceptRetry();
 
   Loop& loop_;
-  Accept accept_;
+  AcceptHandler acceptHandler_;
   int fd_ = -1;
   std::uint16_t port_ = 0;
   bool paused_ = false;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -32,8 +32,8 @@
 }
 
 namespace {
-const Duration kWatchRetryDelay{0.01};  // after the kernel could not watch a descriptor
-const Duration kMaxWait{60};            // of one iteration
+const Duration kWatchRetryDelay{0.01};  // after epoll could not add a descriptor
+const Duration kMaxWait{60};            // of one iteration of run()
 constexpr int kGenerationShift = 32;
 
 [[noreturn]] void throwSystemError(const char* what) {
@@ -67,8 +67,8 @@
   if (!registerWithKernel(fd, generation)) retryWatchLater(fd, generation);
 }
 
-// False where the kernel lacks the memory, or the user's limit is reached, for the moment. Nothing is missed
-// until it is registered: adding a descriptor to epoll reports its present state.
+// False if the kernel lacks memory or the user's limit of epoll watches is reached; the caller retries later.
+// No event is lost meanwhile: adding a descriptor to epoll reports its current state.
 bool Loop::registerWithKernel(int fd, std::uint32_t generation) {
   epoll_event event{};
   event.events = EPOLLET | (fd == wakeupFd_ ? EPOLLIN : EPOLLIN | EPOLLOUT | EPOLLRDHUP);
@@ -160,7 +160,7 @@
   Ready ready;
   ready.readable = (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   ready.writable = (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) != 0;
-  ready.ended = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  ready.peerEnded = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   found->second.first->onReady(ready);
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// One thread's event loop: edge-triggered epoll, one-shot timers, and work posted from other threads.
-// Times are seconds of the machine's monotonic clock, the clock that router::Core is fed with.
+// The event loop of one thread: edge-triggered epoll, one-shot timers, and tasks posted from other threads.
+// Times are seconds of the machine's monotonic clock; router::Core receives times of the same clock.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,30 @@
 
 namespace gannetcourse::net {
 
-/// The monotonic clock as the router's Instant.
+/// The current time of the monotonic clock.
 Instant monotonicNow();
-/// Milliseconds of the wall clock since 1970; may jump.
+/// Milliseconds since 1970 by the wall clock, which may jump.
 std::int64_t unixMillis();
 
-/// Converts wall-clock times to the router's instants by an offset that is fixed within one process.
+/// Converts wall-clock times to times of the monotonic clock by an offset that is fixed at construction.
 class WallClock {
  public:
   WallClock(Instant now, std::int64_t unixMsNow);
-  /// Nothing for 0, which stands for no time.
+  /// The monotonic time of `unixMs`; std::nullopt for 0 or less, which means that no time is given.
   std::optional<Instant> instant(std::int64_t unixMs) const;
 
  private:
-  double offset_;  // seconds from wall clock to the router's clock
+  double offset_;  // seconds to add to wall-clock time for monotonic time
 };
 
-/// What a watched descriptor has become ready for.
+/// The operations for which a watched descriptor is ready.
 struct Ready {
   bool readable = false;
   bool writable = false;
-  bool ended = false;  ///< The peer has shut down its direction or was lost.
+  bool peerEnded = false;  ///< The peer has shut down its write side, or the connection was lost.
 };
 
-/// Notified when a watched descriptor becomes ready. Edge-triggered: read or write until EAGAIN.
+/// Notified when a watched descriptor becomes ready. Events are edge-triggered: read or write until EAGAIN.
 class Watcher {
  public:
   virtual ~Watcher() = default;
@@ -47,15 +47,15 @@
 
 using TimerId = std::uint64_t;  ///< 0 = none.
 
-/// The event loop of one thread. All functions but post() are for that thread only.
+/// The event loop of one thread. All functions except post() may be called on that thread only.
 class Loop {
  public:
-  /// A delay that ends in the next iteration, after the input that has arrived by then is read.
+  /// A timer delay that ends in the next iteration, after that iteration's input has been read.
   static constexpr Duration kNextIteration{1e-6};
 
   using Clock = std::function<Instant()>;
-  /// A clock other than the machine's is for tests that step through time. Throws std::system_error where
-  /// epoll or eventfd fails.
+  /// Tests may pass a clock of their own, to control the time. Throws std::system_error if epoll or eventfd
+  /// fails.
   explicit Loop(Clock clock = monotonicNow);
   ~Loop();
   Loop(const Loop&) = delete;
@@ -63,39 +63,40 @@
 
   /// The time at the start of this iteration.
   Instant now() const { return now_; }
-  /// The time at this moment: for durations that are sent to others.
+  /// The current time, for durations that are sent to other processes.
   Instant exactNow() const { return clock_(); }
 
-  /// Watches for reading and writing. Where the kernel lacks the memory for the moment it is retried. The
-  /// watcher must stay until unwatch().
+  /// Watches a descriptor for reading and writing. Retries later if the kernel lacks memory. `watcher` must
+  /// outlive the call of unwatch().
   void watch(int fd, Watcher* watcher);
-  /// To be called before the descriptor is closed.
+  /// Must be called before the descriptor is closed.
   void unwatch(int fd);
 
-  /// Runs `task` once, at `when` or as soon after it as the loop can.
+  /// Runs `task` once, at `when` or as soon as possible after it.
   TimerId runAt(Instant when, std::function<void()> task);
   TimerId runAfter(Duration delay, std::function<void()> task) {
     return runAt(now_ + delay, std::move(task));
   }
-  /// Does nothing for a timer that has run, or 0.
+  /// Does nothing if the timer has run already, or if `id` is 0.
   void cancelTimer(TimerId id);
 
-  /// Runs `task` at the end of this iteration, or of the next.
+  /// Runs `task` at the end of this iteration; of the next one if this one is already running deferred tasks.
   void defer(std::function<void()> task);
-  /// The same from any thread.
+  /// Like defer(), but may be called from any thread.
   void post(std::function<void()> task);
 
-  /// Runs until stop(). Tasks that are still posted are dropped with the loop.
+  /// Runs until stop(). Posted tasks that have not run by then are dropped when the loop is destroyed.
   void run();
-  /// Runs one iteration that waits for `maxWait` at most. True where an event, timer or task was handled.
+  /// Runs one iteration that waits for at most `maxWait`. True if an event, timer or task was handled.
   bool runOnce(Duration maxWait);
-  /// Other threads post it.
+  /// Ends run() after the current iteration. Other threads must call it through post().
   void stop();
 
-  /// How often the kernel could not watch a descriptor at once.
+  /// How often adding a descriptor to epoll failed and had to be retried.
   std::uint64_t failedWatches() const { return failedWatches_; }
 
-  /// The longest iteration since the last call of this function: what a stalled host adds to every response.
+  /// The duration of the longest iteration since the last call of this function. A stalled host delays every
+  /// response by as much.
   Duration takeLongestIteration();
 
  private:
@@ -113,7 +114,8 @@
   int wakeupFd_ = -1;  // eventfd that post() writes to
   Instant now_;
   bool stopped_ = false;
-  // With a generation, by which events of a descriptor that was closed and reused are recognized.
+  // The watcher and generation of each descriptor. The generation distinguishes events of a closed descriptor
+  // from those of a new one that has the same number.
   std::unordered_map<int, std::pair<Watcher*, std::uint32_t>> watchers_;
   std::uint32_t generation_ = 0;
   std::vector<std::pair<int, std::uint32_t>> unregistered_;  // not registered with epoll yet
--- a/src/net/retry.h
+++ b/src/net/retry.h
@@ -1,4 +1,4 @@
-// Retries what fails for the moment, before there is a loop that could wait for it.
+// Retries an operation that fails temporarily, for use at startup before an event loop runs.
 #pragma once
 
 #include <thread>
@@ -7,17 +7,17 @@
 
 namespace gannetcourse::net {
 
-/// Returns make(), which is called again after each exception of type `Exception` until `timeout` has passed;
-/// then the exception is passed on. Other exceptions are passed on at once. Blocks its thread.
+/// Returns the result of make(). Calls it again after each exception of type `Exception` until `timeout` has
+/// passed, then rethrows. Exceptions of other types are not caught. Blocks the thread between calls.
 template <class Exception, class Make>
 auto retryOn(Duration timeout, const Make& make) -> decltype(make()) {
   constexpr Duration kRetryDelay{0.05};
-  const Instant giveUpAt = monotonicNow() + timeout;
+  const Instant deadline = monotonicNow() + timeout;
   for (;;) {
     try {
       return make();
     } catch (const Exception&) {
-      if (monotonicNow() >= giveUpAt) throw;
+      if (monotonicNow() >= deadline) throw;
     }
     std::this_thread::sleep_for(kRetryDelay);
   }
--- a/src/net/socket_errors.h
+++ b/src/net/socket_errors.h
@@ -1,23 +1,23 @@
-// Which errors of system calls on sockets are this machine's own and may pass.
+// Classifies errors of socket system calls: temporary faults of this machine or faults of the peer.
 #pragma once
 
 #include <cerrno>
 
 namespace gannetcourse::net {
 
-/// Whether an errno of socket(), connect() or accept() is a fault of this machine, not of the peer.
+/// Whether an errno of socket(), connect() or accept() is caused by this machine, not by the peer.
 inline bool isLocalFault(int error) {
   switch (error) {
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-    case EAGAIN:  // no local port, or no entry in the routing cache
+    case EAGAIN:  // no free local port, or no entry in the routing cache
     case EADDRNOTAVAIL:
     case EADDRINUSE:
     case ENETUNREACH:
     case ENETDOWN:
-    case EPERM:  // a local firewall
+    case EPERM:  // blocked by a local firewall
     case EACCES:
       return true;
     default:
@@ -25,7 +25,7 @@
   }
 }
 
-/// Whether an errno of recv() or send() says that the kernel lacks memory for the moment.
-inline bool lacksMemory(int error) { return error == ENOMEM || error == ENOBUFS; }
+/// Whether an errno of recv() or send() means that the kernel temporarily lacks memory.
+inline bool isMemoryShortage(int error) { return error == ENOMEM || error == ENOBUFS; }
 
 }  // namespace gannetcourse::net
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -12,7 +12,7 @@
 
 class ChannelTest : public ::testing::Test {
  protected:
-  ChannelTest() : listener(loop, {}, [this](int fd) { peer = std::make_unique<Raw>(fd); }) {
+  ChannelTest() : listener(loop, {}, [this](int fd) { peer = std::make_unique<RawHttp2Socket>(fd); }) {
     ChannelOptions options;
     options.connectTimeout = Duration(5);
     options.keepaliveInterval = Duration(0);
@@ -36,22 +36,23 @@
     const auto started = call();
     EXPECT_TRUE(
         until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
-    peer->write(frameOf(kSettings, 0, 0, "") + bytes);
+    peer->write(encodeFrame(kSettings, 0, 0, "") + bytes);
     EXPECT_TRUE(until([&] { return !ends.empty(); }));
     EXPECT_EQ(ends.size(), 1u);
     return ends.empty() ? CallEnd{} : ends.front();
   }
 
   static std::string head(int flags = kEndHeaders) {
-    return frameOf(kHeaders, flags, 1, fields({{":status", "200"}, {"content-type", "application/grpc"}}));
+    return encodeFrame(kHeaders, flags, 1,
+                       encodeHeaderBlock({{":status", "200"}, {"content-type", "application/grpc"}}));
   }
   static std::string trailers(const std::string& status) {
-    return frameOf(kHeaders, kEndHeaders | kEndStream, 1,
-                   fields({{"grpc-status", status}, {"grpc-message", "a%20b"}}));
+    return encodeFrame(kHeaders, kEndHeaders | kEndStream, 1,
+                       encodeHeaderBlock({{"grpc-status", status}, {"grpc-message", "a%20b"}}));
   }
 
   net::Loop loop;
-  std::unique_ptr<Raw> peer;
+  std::unique_ptr<RawHttp2Socket> peer;
   net::Listener listener;
   std::unique_ptr<Channel> channel;
   std::vector<std::string> messages;
@@ -59,7 +60,7 @@
 };
 
 TEST_F(ChannelTest, ReadsAResponse) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0"));
+  const CallEnd end = answered(head() + encodeFrame(kData, 0, 1, frame("world")) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kStatus);
   EXPECT_EQ(end.status.code, Code::kOk);
   EXPECT_EQ(messages, std::vector<std::string>{"world"});
@@ -67,28 +68,28 @@
 }
 
 TEST_F(ChannelTest, ReadsATrailersOnlyResponse) {
-  const CallEnd end =
-      answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1,
-                       fields({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
+  const CallEnd end = answered(encodeFrame(
+      kHeaders, kEndHeaders | kEndStream, 1,
+      encodeHeaderBlock({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
   EXPECT_EQ(end.status.code, Code::kResourceExhausted);
   EXPECT_EQ(end.status.message, "full!");
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected) << "known not to have run";
 }
 
 TEST_F(ChannelTest, RefusedStreamsDidNotRun) {
-  const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kRefusedStream, 4)));
+  const CallEnd end = answered(encodeFrame(kReset, 0, 1, encodeBigEndian(http2::kRefusedStream, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
 TEST_F(ChannelTest, StreamsPastAGoawayDidNotRun) {
-  const CallEnd end = answered(frameOf(kGoaway, 0, 0, number(0, 4) + number(0, 4)));
+  const CallEnd end = answered(encodeFrame(kGoaway, 0, 0, encodeBigEndian(0, 4) + encodeBigEndian(0, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
 TEST_F(ChannelTest, OtherResetsMayHaveRun) {
-  const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kInternalError, 4)));
+  const CallEnd end = answered(encodeFrame(kReset, 0, 1, encodeBigEndian(http2::kInternalError, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kReset);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kReset);
 }
@@ -120,24 +121,26 @@
 }
 
 TEST_F(ChannelTest, ResponsesWithoutAStatusAreMalformed) {
-  const CallEnd end = answered(head() + frameOf(kData, kEndStream, 1, frame("world")));
+  const CallEnd end = answered(head() + encodeFrame(kData, kEndStream, 1, frame("world")));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kError);
 }
 
 TEST_F(ChannelTest, HttpFaultsBecomeStatuses) {
-  const CallEnd end = answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1, fields({{":status", "503"}})));
+  const CallEnd end =
+      answered(encodeFrame(kHeaders, kEndHeaders | kEndStream, 1, encodeHeaderBlock({{":status", "503"}})));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(end.status.code, Code::kUnavailable);
 }
 
 TEST_F(ChannelTest, AResponseThatEndsInsideAMessageIsMalformed) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
+  const CallEnd end =
+      answered(head() + encodeFrame(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
 }
 
 TEST_F(ChannelTest, AnOversizedResponseIsEnded) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
+  const CallEnd end = answered(head() + encodeFrame(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_TRUE(until([&] {
     for (const Frame& f : peer->frames()) {
@@ -155,11 +158,12 @@
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kCancelled);
   EXPECT_TRUE(until([&] {
     for (const Frame& f : peer->frames()) {
-      if (f.type == kReset && f.stream == 1) return f.payload == number(http2::kCancel, 4);
+      if (f.type == kReset && f.stream == 1) return f.payload == encodeBigEndian(http2::kCancel, 4);
     }
     return false;
   }));
-  peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame("late")) + trailers("0"));
+  peer->write(encodeFrame(kSettings, 0, 0, "") + head() + encodeFrame(kData, 0, 1, frame("late")) +
+              trailers("0"));
   for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   EXPECT_EQ(ends.size(), 1u);
@@ -168,7 +172,7 @@
 TEST_F(ChannelTest, AFrameForAnEndedStreamIsReported) {
   int stray = 0;
   channel->onStrayFrame = [&](http2::StreamId) { ++stray; };
-  answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0") + trailers("13"));
+  answered(head() + encodeFrame(kData, 0, 1, frame("world")) + trailers("0") + trailers("13"));
   EXPECT_TRUE(until([&] { return stray > 0; }));
   EXPECT_EQ(ends.size(), 1u) << "the first answer stays the only one";
 }
@@ -177,7 +181,8 @@
   const auto started = call();
   started->pause(true);
   ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
-  peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame(std::string(10000, 'x'))));
+  peer->write(encodeFrame(kSettings, 0, 0, "") + head() +
+              encodeFrame(kData, 0, 1, frame(std::string(10000, 'x'))));
   for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   const auto windowOfStream = [&] {
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -17,7 +17,7 @@
       : scenario_(oneClass()),
         ledger_(scenario_.auditRules()),
         testbed_{loop_, ledger_, random_, {"north"}, 250000, 120000, 2, 1, {}, {}, {}, 2.5, 2, {}},
-        listener_(loop_, {}, [this](int fd) { peers_.push_back(std::make_unique<Raw>(fd)); }) {}
+        listener_(loop_, {}, [this](int fd) { peers_.push_back(std::make_unique<RawHttp2Socket>(fd)); }) {}
 
   static Scenario oneClass() {
     Scenario scenario;
@@ -28,9 +28,10 @@
   }
 
   static std::string trailersOnly(const std::string& status) {
-    return frameOf(
+    return encodeFrame(
         kHeaders, kEndHeaders | kEndStream, 1,
-        fields({{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status}}));
+        encodeHeaderBlock(
+            {{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-status", status}}));
   }
 
   // Sends requests until the node has one, answers it, and waits until `done`.
@@ -46,7 +47,7 @@
         const auto frames = peer->frames();
         if (sent || frames.empty() || frames.back().type != kData) continue;
         sent = true;
-        peer->write(frameOf(kSettings, 0, 0, "") + bytes);
+        peer->write(encodeFrame(kSettings, 0, 0, "") + bytes);
       }
     }
     return done();
@@ -57,7 +58,7 @@
   Ledger ledger_;
   std::mt19937_64 random_{1};
   Testbed testbed_;
-  std::vector<std::unique_ptr<Raw>> peers_;
+  std::vector<std::unique_ptr<RawHttp2Socket>> peers_;
   net::Listener listener_;
 };
 
--- a/tests/connection_state_test.cpp
+++ b/tests/connection_state_test.cpp
@@ -1,4 +1,4 @@
-// The state machines of connections, without sockets.
+// Tests of the HTTP/1.1 connection state machines, without sockets.
 #include "http1/connection_state.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 using Phase = ServerPhase;
 using Action = ServerAction;
 
-// A connection that has reached a phase by the shortest path.
+// Returns a state machine that has reached `phase` by the shortest sequence of events.
 ServerConnectionState stateIn(Phase phase) {
   ServerConnectionState state;
   const std::vector<std::pair<Phase, std::vector<Event>>> paths = {
@@ -46,7 +46,7 @@
                                     Event::kTimedOut,
                                     Event::kDrain};
 
-TEST(ServerConnectionState, APeerCloseClosesInEveryPhase) {
+TEST(ServerConnectionState, ClosesInEveryPhaseWhenPeerCloses) {
   for (const Phase phase : kPhases) {
     ServerConnectionState state = stateIn(phase);
     const Action action = state.handle(Event::kPeerClosed);
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(ServerConnectionState, NoRequestIsDispatchedWhileClosing) {
+TEST(ServerConnectionState, DispatchesNoRequestWhileClosing) {
   for (const Phase phase : {Phase::kFlushing, Phase::kLingering, Phase::kClosed}) {
     for (const Event event : kEvents) {
       ServerConnectionState state = stateIn(phase);
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(ServerConnectionState, ALastResponseIsFlushedThenShutDownThenLingers) {
+TEST(ServerConnectionState, FlushesShutsDownAndLingersAfterLastResponse) {
   ServerConnectionState state = stateIn(Phase::kResponding);
   EXPECT_EQ(state.handle(Event::kLastResponseComplete), Action::kNone);
   EXPECT_EQ(state.handle(Event::kBytesReceived), Action::kNone);
@@ -80,7 +80,7 @@
   EXPECT_EQ(state.handle(Event::kPeerClosed), Action::kClose);
 }
 
-TEST(ServerConnectionState, ADrainClosesIdleConnectionsAndKeepsTheOthersOpen) {
+TEST(ServerConnectionState, ClosesIdleAndKeepsOtherConnectionsOnDrain) {
   ServerConnectionState idle = stateIn(Phase::kIdle);
   EXPECT_EQ(idle.handle(Event::kDrain), Action::kFlushOutput);
   EXPECT_EQ(idle.handle(Event::kOutputFlushed), Action::kShutdownWrite);
@@ -91,7 +91,7 @@
   }
 }
 
-TEST(ServerConnectionState, EveryPhaseEndsOnTimeout) {
+TEST(ServerConnectionState, ClosesFromEveryPhaseAfterTimeouts) {
   for (const Phase phase : kPhases) {
     ServerConnectionState state = stateIn(phase);
     for (int i = 0; i < 4 && state.phase() != Phase::kClosed; ++i) {
@@ -103,7 +103,7 @@
   }
 }
 
-TEST(ServerConnectionState, RandomEventsNeverDispatchTwiceAtOnceNorAfterClosing) {
+TEST(ServerConnectionState, NeverDispatchesTwoRequestsAtOnceOrOneAfterClosing) {
   std::mt19937 random(7);
   for (int round = 0; round < 2000; ++round) {
     ServerConnectionState state;
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(ClientConnectionState, IsReusedOnlyAfterSettling) {
+TEST(ClientConnectionState, IsIdleOnlyAfterSettleDelay) {
   ClientConnectionState state;
   EXPECT_TRUE(state.handle(ClientEvent::kConnected));
   EXPECT_TRUE(state.handle(ClientEvent::kResponseComplete));
@@ -138,15 +138,15 @@
   EXPECT_TRUE(state.isIdle());
   EXPECT_TRUE(state.handle(ClientEvent::kCallStarted));
   EXPECT_EQ(state.phase(), ClientPhase::kCallInProgress);
-  EXPECT_TRUE(state.handle(ClientEvent::kSettleTimeElapsed));  // of an earlier settle delay
+  EXPECT_TRUE(state.handle(ClientEvent::kSettleTimeElapsed));  // late timer of the previous settle delay
   EXPECT_EQ(state.phase(), ClientPhase::kCallInProgress);
   EXPECT_FALSE(state.handle(ClientEvent::kLastResponseComplete));
 }
 
-TEST(ClientConnectionState, UnexpectedBytesCloseItWhileNoCallIsInFlight) {
+TEST(ClientConnectionState, ClosesOnBytesReceivedWhileNoCallIsInFlight) {
   ClientConnectionState state;
   state.handle(ClientEvent::kConnected);
-  EXPECT_TRUE(state.handle(ClientEvent::kBytesReceived));  // the response's own
+  EXPECT_TRUE(state.handle(ClientEvent::kBytesReceived));  // bytes of the response
   state.handle(ClientEvent::kResponseComplete);
   EXPECT_FALSE(state.handle(ClientEvent::kBytesReceived));
   EXPECT_TRUE(state.isClosed());
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -19,7 +19,7 @@
                     call->send(message);
                     call->finish({});
                   });
-    raw = Raw::connectTo(server.port());
+    raw = RawHttp2Socket::connectTo(server.port());
   }
 
   static ServerOptions options() {
@@ -71,7 +71,7 @@
   std::shared_ptr<ServerCall> received;  // after keepCallsOpen()
   bool cancelled = false;
   Server server;
-  std::unique_ptr<Raw> raw;
+  std::unique_ptr<RawHttp2Socket> raw;
   std::vector<std::string> said;  // messages that the handler received
 };
 
@@ -140,7 +140,7 @@
        Code::kResourceExhausted},
   };
   for (const Case& c : cases) {
-    raw = Raw::connectTo(server.port());
+    raw = RawHttp2Socket::connectTo(server.port());
     EXPECT_EQ(answer(c.path, c.body, c.more), c.code) << c.name;
   }
   EXPECT_TRUE(said.empty()) << "none of them reached the handler";
@@ -160,7 +160,7 @@
 }
 
 TEST_F(FrameTest, AnswersPings) {
-  raw->write(kPreface + frameOf(kPing, 0, 0, "12345678"));
+  raw->write(kPreface + encodeFrame(kPing, 0, 0, "12345678"));
   EXPECT_TRUE(until([&] {
     for (const Frame& f : raw->frames()) {
       if (f.type == kPing && f.flags == kAck && f.payload == "12345678") return true;
@@ -173,33 +173,34 @@
   const std::string broken[] = {
       "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
       std::string(100, '\xff'),
-      kPreface + frameOf(kHeaders, kEndHeaders, 2, fields(requestHeaders())),  // an even stream
-      kPreface + frameOf(kData, 0, 1, "data before headers"),
-      kPreface + frameOf(kHeaders, kEndHeaders, 1, std::string(20, '\xff')),  // broken HPACK
-      kPreface + frameOf(kSettings, 0, 0, "12345"),                           // a wrong size
-      kPreface + frameOf(kHeaders, 0, 1, "") +
-          frameOf(kPing, 0, 0, "12345678"),  // a block that is interrupted
+      kPreface +
+          encodeFrame(kHeaders, kEndHeaders, 2, encodeHeaderBlock(requestHeaders())),  // an even stream
+      kPreface + encodeFrame(kData, 0, 1, "data before headers"),
+      kPreface + encodeFrame(kHeaders, kEndHeaders, 1, std::string(20, '\xff')),  // broken HPACK
+      kPreface + encodeFrame(kSettings, 0, 0, "12345"),                           // a wrong size
+      kPreface + encodeFrame(kHeaders, 0, 1, "") +
+          encodeFrame(kPing, 0, 0, "12345678"),  // a block that is interrupted
   };
   for (const std::string& bytes : broken) {
-    raw = Raw::connectTo(server.port());
+    raw = RawHttp2Socket::connectTo(server.port());
     raw->write(bytes);
     EXPECT_TRUE(until([&] { return raw->closed(); })) << bytes.substr(0, 40);
   }
-  raw = Raw::connectTo(server.port());
+  raw = RawHttp2Socket::connectTo(server.port());
   EXPECT_EQ(answer("/test.Echo/Say", frame("still here")), Code::kOk);
 }
 
 TEST_F(FrameTest, HeaderFloodsAndHpackBombsEndTheConnection) {
   // One entry of 3,900 bytes in the dynamic table, then named a thousand times.
-  std::string bomb = "\x40" + fields({{"bomb", std::string(3900, 'b')}}).substr(1);
+  std::string bomb = "\x40" + encodeHeaderBlock({{"bomb", std::string(3900, 'b')}}).substr(1);
   bomb += std::string(1000, '\xbe');
-  raw->write(kPreface + frameOf(kHeaders, 0, 1, bomb));
+  raw->write(kPreface + encodeFrame(kHeaders, 0, 1, bomb));
   EXPECT_TRUE(until([&] { return raw->closed(); }));
   // A block without an end.
-  raw = Raw::connectTo(server.port());
-  raw->write(kPreface + frameOf(kHeaders, 0, 1, fields(requestHeaders())));
+  raw = RawHttp2Socket::connectTo(server.port());
+  raw->write(kPreface + encodeFrame(kHeaders, 0, 1, encodeHeaderBlock(requestHeaders())));
   for (int i = 0; i < 100 && !raw->closed(); ++i) {
-    raw->write(frameOf(kContinuation, 0, 1, fields({{"more", std::string(1000, 'm')}})));
+    raw->write(encodeFrame(kContinuation, 0, 1, encodeHeaderBlock({{"more", std::string(1000, 'm')}})));
     loop.runOnce(Duration(0));
   }
   EXPECT_TRUE(until([&] { return raw->closed(); }));
@@ -210,7 +211,7 @@
   keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
   ASSERT_TRUE(until([&] { return received != nullptr; }));
-  raw->write(frameOf(kReset, 0, 1, number(http2::kCancel, 4)));
+  raw->write(encodeFrame(kReset, 0, 1, encodeBigEndian(http2::kCancel, 4)));
   EXPECT_TRUE(until([&] { return cancelled; }));
   EXPECT_FALSE(received->isOpen());
   received->send("into the void");
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 out of bytes: complete, byte by byte, and what must be rejected.
+// Tests of the HTTP/1.1 parsers: messages that arrive in pieces, and messages that must be rejected.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -20,7 +20,7 @@
   return state;
 }
 
-TEST(RequestParser, ParsesARequestHoweverItIsSplit) {
+TEST(RequestParser, ParsesRequestThatArrivesInPieces) {
   for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kGood.size()}) {
     RequestParser parser{Limits{}};
     ASSERT_EQ(parseAll(parser, kGood, step), ParseState::kComplete);
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(RequestParser, ParsesAPipelinedRequestAsTheNext) {
+TEST(RequestParser, ParsesPipelinedRequestAfterThePreviousOne) {
   RequestParser parser{Limits{}};
   ASSERT_TRUE(parser.append(kGood + "GET /-/ready HTTP/1.1\r\n\r\n"));
   ASSERT_EQ(parser.parse(), ParseState::kComplete);
@@ -45,7 +45,9 @@
   EXPECT_FALSE(parser.hasPartialRequest());
 }
 
-TEST(RequestParser, RejectsLengthsThatMayHideARequest) {
+// Guards against request smuggling: a proxy and its server that read the length differently see different
+// requests.
+TEST(RequestParser, RejectsRequestWhoseLengthIsInvalidOrAmbiguous) {
   const std::string start = "POST / HTTP/1.1\r\n";
   for (const char* const fields :
        {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -59,7 +61,7 @@
   }
 }
 
-TEST(RequestParser, LimitsHeadsBodiesAndPipelinedBytes) {
+TEST(RequestParser, RejectsHeadBodyChunkAndPipelinedBytesOverTheirLimits) {
   Limits limits;
   limits.maxHeadBytes = 256;
   limits.maxBodyBytes = 100;
@@ -73,8 +75,8 @@
   RequestParser chunks(limits);
   EXPECT_EQ(parseAll(chunks, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nFFFFFFFF\r\n", 10),
             ParseState::kMalformed);
-  RequestParser ahead(limits);
-  EXPECT_FALSE(ahead.append(
+  RequestParser pipelined(limits);
+  EXPECT_FALSE(pipelined.append(
       std::string(limits.maxHeadBytes + limits.maxBodyBytes + limits.maxPipelinedBytes + 1, 'x')));
 }
 
@@ -96,7 +98,7 @@
 
 const std::string kStream = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
-TEST(ResponseParser, AChunkedResponseIsReusableHoweverItIsSplit) {
+TEST(ResponseParser, ConnectionIsReusableAfterChunkedResponseThatArrivesInPieces) {
   for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kStream.size()}) {
     bool reusable = false;
     const ParsedResponse response = responseOf(kStream, step, &reusable);
@@ -106,17 +108,19 @@
   }
 }
 
-TEST(ResponseParser, SkipsInformationalResponsesAndDistrustsTrailingBytes) {
+TEST(ResponseParser, SkipsInformationalResponsesAndForbidsReuseAfterTrailingBytes) {
   bool reusable = true;
-  const std::string ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-  const ParsedResponse response = responseOf(ahead + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
+  const std::string informational =
+      "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
+  const ParsedResponse response =
+      responseOf(informational + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
   EXPECT_EQ(response.state, ParseState::kComplete);
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, "hello");
   EXPECT_FALSE(reusable);
 }
 
-TEST(ResponseParser, DetectsAMalformedResponse) {
+TEST(ResponseParser, RejectsMalformedResponse) {
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& bytes :
        {std::string("\x01\x02noise\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + std::string(40000, 'y'),
@@ -125,33 +129,33 @@
   }
 }
 
-TEST(ResponseParser, IsInsideAPartWithinAHeadOrChunkOnly) {
+TEST(ResponseParser, IsInsideHeadOrChunkFromItsFirstToItsLastByte) {
   bool headSeen = false;
   ResponseParser parser(Limits{}, {[&](const ResponseHead&) { headSeen = true; }, [](std::string_view) {}});
-  EXPECT_FALSE(parser.isInsidePart());
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());
   parser.consume("HTTP/1.1 200 OK\r\nTransfer-Enc");
-  EXPECT_TRUE(parser.isInsidePart());
+  EXPECT_TRUE(parser.isInsideHeadOrChunk());
   parser.consume("oding: chunked\r\n\r\n");
-  EXPECT_FALSE(parser.isInsidePart());
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());
   parser.consume("a\r\nhello");
-  EXPECT_TRUE(parser.isInsidePart());
+  EXPECT_TRUE(parser.isInsideHeadOrChunk());
   parser.consume("12345");
-  EXPECT_FALSE(parser.isInsidePart());
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());
   parser.consume("\r");
-  EXPECT_FALSE(parser.isInsidePart());
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());
   parser.consume("\n");
-  EXPECT_FALSE(parser.isInsidePart());  // the next chunk may come in a second or in a minute
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());  // between two chunks, for however long
   parser.consume("5");
-  EXPECT_TRUE(parser.isInsidePart());
+  EXPECT_TRUE(parser.isInsideHeadOrChunk());
   parser.consume("\r\nhello\r\n");
-  EXPECT_FALSE(parser.isInsidePart());
+  EXPECT_FALSE(parser.isInsideHeadOrChunk());
   parser.consume("0\r\n");
-  EXPECT_TRUE(parser.isInsidePart());  // trailers, or the empty line that ends them
+  EXPECT_TRUE(parser.isInsideHeadOrChunk());  // trailers, or the empty line that ends them
   EXPECT_TRUE(headSeen);
 }
 
-// Nothing but the sanitizers and the bounds is asserted: bytes of all kinds end in one of the three states.
-TEST(Parsers, SurviveRandomBytes) {
+// Guards against crashes and memory errors on corrupted input, which the sanitizers of the build detect.
+TEST(Parsers, ParseCorruptedMessagesWithoutMemoryErrors) {
   std::mt19937 random(17);
   int malformed = 0;
   for (int round = 0; round < 3000; ++round) {
@@ -162,7 +166,7 @@
     malformed += parseAll(request, bytes, step) == ParseState::kMalformed;
     malformed += responseOf(bytes, step).state == ParseState::kMalformed;
   }
-  EXPECT_GT(malformed, 3000);  // each text is at least no message of the other kind
+  EXPECT_GT(malformed, 3000);  // each message is malformed at least for the parser of the other kind
 }
 
 }  // namespace
