--- a/src/http1/client.h
+++ b/src/http1/client.h
@@ -53,7 +53,7 @@
 using CallId = std::uint64_t;  ///< 0 = none.
 class ClientConnection;
 
-/// Owns the connections and the calls on them. May be used on its loop's thread only.
+/// Owns the connections and the calls on them. Use it on its loop's thread only.
 class Client {
  public:
   Client(net::Loop& loop, const ClientOptions& options);
--- a/src/http1/parser.h
+++ b/src/http1/parser.h
@@ -15,9 +15,9 @@
 
 /// Size limits of a message, in bytes.
 struct Limits {
-  std::uint32_t maxHeadBytes = 16 * 1024;      ///< Of the start line and the header fields.
-  std::uint64_t maxBodyBytes = 256 * 1024;     ///< Of a body, and of one chunk; 0 = unlimited.
-  std::size_t maxPipelinedBytes = 512 * 1024;  ///< Buffered behind a message.
+  std::uint32_t maxHeadBytes = 16 * 1024;      ///< Start line and header fields.
+  std::uint64_t maxBodyBytes = 256 * 1024;     ///< A body, and each chunk; 0 = unlimited.
+  std::size_t maxPipelinedBytes = 512 * 1024;  ///< Input buffered behind the current message.
 };
 
 /// Header fields in the order of arrival. Names are compared case-insensitively.
--- a/src/http1/server.h
+++ b/src/http1/server.h
@@ -20,7 +20,7 @@
 struct ServerOptions {
   Limits limits;                                      ///< Size limits of each request.
   std::size_t maxConnections = 512;                   ///< Maximum for all clients together.
-  std::uint64_t maxBufferedRequestBytes = 32U << 20;  ///< Of requests being received, in total.
+  std::uint64_t maxBufferedRequestBytes = 32U << 20;  ///< Total for requests being received.
   Duration requestTimeout{2.7};    ///< Limit for the first request to begin, and for each to arrive.
   Duration idleTimeout{15};        ///< Closes a connection that is idle between two requests.
   Duration writeStallTimeout{20};  ///< Closes a connection whose client does not read its response.
@@ -33,7 +33,7 @@
   std::uint64_t evicted = 0;        ///< Connections closed to make room for new ones.
   std::uint64_t closedAtLimit = 0;  ///< New connections closed because none could be evicted.
   std::uint64_t rejected = 0;       ///< Requests that were malformed, too large or too slow to arrive.
-  std::uint64_t timedOut = 0;       ///< Connections of which a phase exceeded its time limit.
+  std::uint64_t timedOut = 0;       ///< Connections that exceeded the time limit of a phase.
   std::uint64_t abandoned = 0;      ///< Connections lost or timed out before a response was complete.
 };
 
@@ -67,8 +67,8 @@
   ServerConnection* connection_;  // null once the response is complete or the client has disconnected
 };
 
-/// Listens on an endpoint; owns the connections and limits their number. May be used on its loop's thread
-/// only.
+/// Listens on an endpoint; owns the connections and limits their number. Use it on its
+/// loop's thread only.
 class Server {
  public:
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
--- a/src/http1/server_connection.cpp
+++ b/src/http1/server_connection.cpp
@@ -87,7 +87,7 @@
   text.append(bytes).append("\r\n");
   connection_.append(text);
   connection_.flush();
-  if (!exchange_ || connection_.wantsOutput() || backpressure_) return;
+  if (!exchange_ || connection_.canAcceptOutput() || backpressure_) return;
   backpressure_ = true;
   if (exchange_->onBackpressure) exchange_->onBackpressure(true);
 }
--- a/src/http1/server_connection.h
+++ b/src/http1/server_connection.h
@@ -19,7 +19,7 @@
 /// end of that iteration of the loop, so that it may close itself in its own callbacks.
 class ServerConnection final : public net::ConnectionOwner {
  public:
-  /// Takes over the accepted socket.
+  /// Takes ownership of the accepted socket.
   ServerConnection(Server& server, int fd);
   ~ServerConnection() override { detachExchange(); }
 
@@ -55,7 +55,7 @@
   // ---- net::ConnectionOwner ----
   void onBytes(std::span<const std::uint8_t> bytes) override;
   void onWritable() override;
-  void onPeerEnded() override { handleEvent(ServerEvent::kPeerClosed); }
+  void onPeerShutdown() override { handleEvent(ServerEvent::kPeerClosed); }
   void onClosed(const std::string&) override { handleEvent(ServerEvent::kPeerClosed); }
 
   // Passes the event to the state machine and performs its action. All events go through this function.
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -83,7 +83,7 @@
 
 void Session::sendPendingFrames() {
   if (insideNghttp2_ || closed_ || session_ == nullptr) return;
-  while (connection_.wantsOutput()) {
+  while (connection_.canAcceptOutput()) {
     const std::uint8_t* bytes = nullptr;
     insideNghttp2_ = true;
     const ssize_t size = nghttp2_session_mem_send(session_, &bytes);
@@ -93,7 +93,7 @@
     if (size == 0) break;
     // Collects frames up to the watermark, to send many of them with one system call.
     connection_.append({bytes, static_cast<std::size_t>(size)});
-    if (!connection_.wantsOutput()) connection_.flush();
+    if (!connection_.canAcceptOutput()) connection_.flush();
     if (closed_) return;
   }
   connection_.flush();
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -33,9 +33,9 @@
 /// Limits of one connection.
 struct Limits {
   std::uint32_t streamWindow = 64 * 1024;        ///< Bytes that the peer may send on a stream unconsumed.
-  std::uint32_t connectionWindow = 1024 * 1024;  ///< The same on all streams, until this loop has read them.
+  std::uint32_t connectionWindow = 1024 * 1024;  ///< Bytes that the peer may send, in total, unread.
   std::uint32_t maxStreams = 1000;               ///< Streams that may be open at a time.
-  std::size_t maxHeaderBytes = 16 * 1024;  ///< Size of one header block: names, values, 32 for each field.
+  std::size_t maxHeaderBytes = 16 * 1024;  ///< Size of one header block: names, values, 32 bytes per field.
 };
 
 /// Receives a session's events. In these functions the owner may call the session, but must not destroy it.
@@ -66,8 +66,8 @@
   virtual void onSessionClosed(const std::string& reason) = 0;
 };
 
-/// One HTTP/2 connection. Owns the socket and the streams' pending output. May be used on its loop's thread
-/// only.
+/// One HTTP/2 connection. Owns the socket and the streams' pending output. Use it on its
+/// loop's thread only.
 class Session final : private net::ConnectionOwner {
  public:
   enum class Side { kServer, kClient };
@@ -76,7 +76,7 @@
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  /// Takes over an accepted socket.
+  /// Takes ownership of an accepted socket.
   void adopt(int fd);
   /// Starts connecting. Calls onSessionReady(), or onSessionClosed() on failure and after `timeout` seconds.
   void connect(const net::Endpoint& to, Duration timeout);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -87,11 +87,11 @@
     if (!ready.writable) return;
     finishConnect();
   }
-  if (ready.peerEnded && isConnected()) owner_.onPeerEnded();
+  if (ready.peerShutdown && isConnected()) owner_.onPeerShutdown();
   if (ready.readable) readAvailable();
   if (ready.writable && isConnected() && !suspended_) {
     flush();
-    if (wantsOutput()) owner_.onWritable();
+    if (canAcceptOutput()) owner_.onWritable();
   }
 }
 
@@ -189,7 +189,7 @@
     writeTimer_ = 0;
     if (!isConnected() || suspended_) return;
     flush();
-    if (wantsOutput()) owner_.onWritable();
+    if (canAcceptOutput()) owner_.onWritable();
   });
 }
 
@@ -198,7 +198,7 @@
   if (suspended_ || !isConnected()) return;
   flush();
   readAvailable();
-  if (wantsOutput()) owner_.onWritable();
+  if (canAcceptOutput()) owner_.onWritable();
 }
 
 // ---- Closing ----
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -20,21 +20,21 @@
   virtual void onBytes(std::span<const std::uint8_t> bytes) = 0;
   /// Called when pending output is below kOutputWatermark and more can be appended.
   virtual void onWritable() = 0;
-  /// Called when the peer has shut down its write side, before its last bytes are read and even while reading
-  /// is paused.
-  virtual void onPeerEnded() {}
+  /// Called when the peer has shut down its write side or the connection was lost. Its last bytes have not
+  /// been read yet. Called even while reading is paused.
+  virtual void onPeerShutdown() {}
   /// Called once when the connection fails or the peer closes, but not after close() or abort(). `reason` is
   /// a short plain text for logs.
   virtual void onClosed(const std::string& reason) = 0;
 };
 
-/// One TCP connection, either accepted or opened by connect(). Owns its socket. May be used on its loop's
-/// thread only.
+/// One TCP connection, either accepted or opened by connect(). Owns its socket. Use it on its loop's thread
+/// only.
 class Connection : private Watcher {
  public:
   /// Pending output, in bytes, at which the owner should wait for onWritable() before it appends more.
   static constexpr std::size_t kOutputWatermark = 64 * 1024;
-  /// Maximum of bytes read in one iteration of the loop, so that other connections are not starved.
+  /// Maximum number of bytes read in one iteration of the loop, so that other connections are not starved.
   static constexpr std::size_t kReadBudget = 256 * 1024;
 
   Connection(Loop& loop, ConnectionOwner& owner) : loop_(loop), owner_(owner) {}
@@ -42,7 +42,7 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Takes over an accepted socket.
+  /// Takes ownership of an accepted socket.
   void adopt(int fd);
   /// Starts connecting. The owner's onConnected() or onClosed() is called later, or onClosed() at once if
   /// connecting fails at once. The limit is `timeout` seconds. Until then, connecting is retried while this
@@ -53,7 +53,7 @@
 
   bool isOpen() const { return fd_ >= 0 || connecting_; }
   bool isConnected() const { return fd_ >= 0 && !connecting_; }
-  bool wantsOutput() const { return isConnected() && pendingBytes() < kOutputWatermark; }
+  bool canAcceptOutput() const { return isConnected() && pendingBytes() < kOutputWatermark; }
   /// Bytes of output that the kernel has not accepted yet.
   std::size_t pendingBytes() const { return output_.size() - outputOffset_; }
   /// Adds to the pending output without sending it.
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -10,7 +10,7 @@
 namespace gannetcourse::net {
 
 /// Accepts connections on an endpoint of this machine; with port 0 the kernel chooses the port. Owns the
-/// listening socket. May be used on its loop's thread only.
+/// listening socket. Use it on its loop's thread only.
 class Listener : private Watcher {
  public:
   /// Takes ownership of an accepted, non-blocking socket.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -160,7 +160,7 @@
   Ready ready;
   ready.readable = (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   ready.writable = (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) != 0;
-  ready.peerEnded = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+  ready.peerShutdown = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
   found->second.first->onReady(ready);
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -35,7 +35,7 @@
 struct Ready {
   bool readable = false;
   bool writable = false;
-  bool peerEnded = false;  ///< The peer has shut down its write side, or the connection was lost.
+  bool peerShutdown = false;  ///< The peer has shut down its write side, or the connection was lost.
 };
 
 /// Notified when a watched descriptor becomes ready. Events are edge-triggered: read or write until EAGAIN.
--- a/tests/connection_state_test.cpp
+++ b/tests/connection_state_test.cpp
@@ -107,24 +107,25 @@
   std::mt19937 random(7);
   for (int round = 0; round < 2000; ++round) {
     ServerConnectionState state;
-    bool open = false, ended = false;
+    bool requestInProgress = false, closing = false;
     for (int i = 0; i < 40; ++i) {
       const Event event = kEvents[random() % kEvents.size()];
-      if (open && (event == Event::kResponseComplete || event == Event::kLastResponseComplete)) open = false;
-      const bool before = state.isResponding();
+      if (requestInProgress && (event == Event::kResponseComplete || event == Event::kLastResponseComplete))
+        requestInProgress = false;
+      const bool wasResponding = state.isResponding();
       const Action action = state.handle(event);
       if (action == Action::kDispatchRequest) {
-        EXPECT_FALSE(open);
-        EXPECT_FALSE(ended);
-        open = true;
+        EXPECT_FALSE(requestInProgress);
+        EXPECT_FALSE(closing);
+        requestInProgress = true;
       }
       if (action == Action::kShutdownWrite || action == Action::kClose || action == Action::kCloseAndNotify)
-        ended = true;
+        closing = true;
       if (action == Action::kCloseAndNotify) {
-        EXPECT_TRUE(before);
-        open = false;
+        EXPECT_TRUE(wasResponding);
+        requestInProgress = false;
       }
-      EXPECT_EQ(open, state.isResponding());
+      EXPECT_EQ(requestInProgress, state.isResponding());
     }
   }
 }
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -8,7 +8,7 @@
 namespace gannetcourse::http1 {
 namespace {
 
-const std::string kGood =
+const std::string kRequest =
     "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nContent-Length: 5\r\n\r\nhello";
 
 ParseState parseAll(RequestParser& parser, const std::string& bytes, std::size_t step) {
@@ -21,9 +21,9 @@
 }
 
 TEST(RequestParser, ParsesRequestThatArrivesInPieces) {
-  for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kGood.size()}) {
+  for (const std::size_t step : {std::size_t{1}, std::size_t{3}, kRequest.size()}) {
     RequestParser parser{Limits{}};
-    ASSERT_EQ(parseAll(parser, kGood, step), ParseState::kComplete);
+    ASSERT_EQ(parseAll(parser, kRequest, step), ParseState::kComplete);
     EXPECT_EQ(parser.request().method, "POST");
     EXPECT_EQ(parser.request().target, "/v1/chat/completions?a=b");
     EXPECT_EQ(*parser.request().fields.find("x-call-id"), "1");
@@ -34,7 +34,7 @@
 
 TEST(RequestParser, ParsesPipelinedRequestAfterThePreviousOne) {
   RequestParser parser{Limits{}};
-  ASSERT_TRUE(parser.append(kGood + "GET /-/ready HTTP/1.1\r\n\r\n"));
+  ASSERT_TRUE(parser.append(kRequest + "GET /-/ready HTTP/1.1\r\n\r\n"));
   ASSERT_EQ(parser.parse(), ParseState::kComplete);
   EXPECT_EQ(parser.request().body, "hello");
   parser.startNextRequest();
@@ -96,12 +96,13 @@
   return response;
 }
 
-const std::string kStream = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
+const std::string kChunkedResponse =
+    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
 TEST(ResponseParser, ConnectionIsReusableAfterChunkedResponseThatArrivesInPieces) {
-  for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kStream.size()}) {
+  for (const std::size_t step : {std::size_t{1}, std::size_t{7}, kChunkedResponse.size()}) {
     bool reusable = false;
-    const ParsedResponse response = responseOf(kStream, step, &reusable);
+    const ParsedResponse response = responseOf(kChunkedResponse, step, &reusable);
     EXPECT_EQ(response.state, ParseState::kComplete);
     EXPECT_EQ(response.body, "hello");
     EXPECT_TRUE(reusable) << step;
@@ -113,7 +114,7 @@
   const std::string informational =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
   const ParsedResponse response =
-      responseOf(informational + kStream + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
+      responseOf(informational + kChunkedResponse + "HTTP/1.1 200 OK\r\n\r\n", 10000, &reusable);
   EXPECT_EQ(response.state, ParseState::kComplete);
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, "hello");
@@ -159,7 +160,7 @@
   std::mt19937 random(17);
   int malformed = 0;
   for (int round = 0; round < 3000; ++round) {
-    std::string bytes = round % 2 == 0 ? kGood : kStream;
+    std::string bytes = round % 2 == 0 ? kRequest : kChunkedResponse;
     for (int i = 0; i < 1 + round % 4; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     const std::size_t step = 1 + random() % 20;
     RequestParser request{Limits{}};
--- a/tests/raw_http2.h
+++ b/tests/raw_http2.h
@@ -136,7 +136,7 @@
   bool closed_ = false;
 };
 
-constexpr double kMaxWaitSeconds = 10;  // no correct program needs that long
+constexpr double kMaxWaitSeconds = 10;  // only a faulty program reaches this limit
 
 // Runs the loop until done() is true. Returns false if that takes longer than `maxWait` seconds.
 template <class Done>
