--- a/include/gannetcourse/recovery.h
+++ b/include/gannetcourse/recovery.h
@@ -1,8 +1,8 @@
-// The recovery module: when a stream counts as lost, whether and when it is continued at another decode
-// engine, and when to give it up at once is the better answer.
+// The recovery module: decides when a stream is taken from its engine, whether and when a lost stream is
+// continued at another decode engine, and when it is given up at once.
 //
-// No I/O, clock or threads; the time comes in with each call. The policy still picks the engines of a
-// continuation.
+// The module does no I/O, reads no clock and starts no threads; the time is passed with each call. The policy
+// selects the engines of a continuation.
 #pragma once
 
 #include <cstddef>
@@ -17,173 +17,176 @@
 
 namespace gannetcourse::recovery {
 
-using StreamKey = std::uint64_t;  ///< The host's number of a stream.
+using StreamKey = std::uint64_t;  ///< Id of a stream, assigned by the host.
 
-/// What recovery may cost, and how long it waits. By class: the index is that of Settings::classes.
+/// Limits on the cost and the waiting times of recovery. "By class" means indexed like Settings::classes.
 struct Limits {
   bool enabled = true;
 
   // ---- Whether a stream is continued ----
-  int maxContinuations = 3;  ///< Of one request, 0 to 100.
-  int maxAttempts = 4;  ///< Of one request in all; a continuation takes two, a prefill and a decode call.
-  Duration minTimeLeft{0.5};  ///< Until the client's deadline, for a continuation to begin.
-  Duration maxWait{1.5};      ///< How long a lost stream waits for its share of the budget.
-  /// Prompt tokens that continuations may prefill, as a share of those that new requests do.
+  int maxContinuations = 3;   ///< Continuations of one request, 0 to 100.
+  int maxAttempts = 4;        ///< Total attempts of one request; a continuation takes a prefill and a decode.
+  Duration minTimeLeft{0.5};  ///< Least time before the client's deadline to start a continuation.
+  Duration maxWait{1.5};      ///< How long a lost stream may wait until the budget allows its continuation.
+  /// Prompt tokens that continuations may prefill, as a share of those that new requests prefill.
   double rebuildShare = 0.5;
-  double rebuildBurst = 100000;  ///< The same ahead of new requests, tokens.
+  double rebuildBurst = 100000;  ///< Tokens that continuations may prefill in advance of that share.
 
   // ---- When a stream is taken from its engine ----
-  Duration minSilence{1.5};         ///< A stream that paused for less is never migrated ...
-  double silenceFactor = 12;        ///< ... nor for less than so many times the token interval of its class.
-  double slowFactor = 4;            ///< A stream so many times slower than its class may be migrated ...
-  Duration slowDuration{1.5};       ///< ... after so long, if it would miss its deadline otherwise.
-  Duration migrationLeadTime{0.3};  ///< Before an engine shuts down, its long streams are to be elsewhere.
-  Duration goAwayGrace{3};          ///< How long an engine that sent GOAWAY is taken to go on sending.
+  Duration minSilence{1.5};         ///< A stream is migrated as silent only after a pause of this time ...
+  double silenceFactor = 12;        ///< ... and of this multiple of its class's token interval.
+  double slowFactor = 4;            ///< A stream this many times slower than its class may be migrated ...
+  Duration slowDuration{1.5};       ///< ... after this time, if it would miss its deadline otherwise.
+  Duration migrationLeadTime{0.3};  ///< Long streams are migrated this long before their engine shuts down.
+  Duration goAwayGrace{3};          ///< How long an engine is assumed to keep sending after its GOAWAY.
 
-  // ---- When an attempt has ended for certain ----
-  Duration engineLease{2};  ///< An engine that hears nothing of this router for so long ends its streams.
-  Duration fenceRetryInterval{0.25};  ///< Between two fence requests to an engine that does not answer.
+  // ---- When an attempt is certain to have ended ----
+  Duration engineLease{2};  ///< An engine without contact to this router for this long ends its streams.
+  Duration fenceRetryInterval{0.25};  ///< Time between two fence requests to an engine that does not answer.
 
   // ---- What is buffered ----
   std::uint64_t maxBufferedBytesPerStream = 64 * 1024;
-  std::uint64_t maxBufferedBytes = 64 * 1024 * 1024;  ///< Of all streams.
+  std::uint64_t maxBufferedBytes = 64 * 1024 * 1024;  ///< For all streams together.
 
   std::vector<Idempotency> idempotency;  ///< By class: only kIdempotent streams are continued.
-  std::vector<double> priorityWeights;   ///< By class: the greater comes first when not all can be continued.
+  std::vector<double> priorityWeights;   ///< By class: streams of greater weight are continued first.
 };
 
-/// A stream as it starts at a decode engine.
+/// A stream at its start on a decode engine.
 struct Stream {
   std::size_t classIndex = 0;
   EngineId engine;
-  /// What a continuation would have to prefill, without the tokens sent from here on.
+  /// Tokens that a continuation would have to prefill, without the tokens sent after this start.
   double promptTokens = 0;
-  double remainingTokens = 0;  ///< The most that may still come.
+  double remainingTokens = 0;  ///< Upper bound of the tokens still to be sent.
   Instant deadline{};
-  int continuations = 0, attempts = 0;  ///< Of its request so far.
+  int continuations = 0, attempts = 0;  ///< Of the request so far.
 };
 
-/// What the host knows of how a stream's attempt ended.
+/// How certain the host is that a stream's attempt has ended at its engine.
 enum class AttemptEnd {
-  kConfirmed,  ///< The engine said so: by a status, a reset, or by closing the connection.
-  kAbandoned   ///< This router gave it up: the engine may not know.
+  kConfirmed,  ///< The engine confirmed it by a status, a reset, or by closing the connection.
+  kAbandoned   ///< This router gave the attempt up; it may still run at the engine.
 };
 
 /// A stream that has ended before its answer was complete.
 struct LostStream {
   StreamKey stream = 0;
   std::size_t classIndex = 0;
-  double tokensToPrefill = 0;  ///< The prompt and what was sent.
+  double tokensToPrefill = 0;  ///< Tokens of the prompt and of the text sent so far.
   Duration timeUntilDeadline{0};
-  int continuations = 0, attempts = 0;  ///< Of its request so far.
+  int continuations = 0, attempts = 0;  ///< Of the request so far.
   AttemptEnd attemptEnd = AttemptEnd::kConfirmed;
 };
 
-/// What is to be done with a stream that is lost.
+/// How to proceed with a lost stream.
 enum class Disposition {
   kContinue,
-  kWait,        ///< For the budget; takeDueStreams() names it later.
-  kFenceFirst,  ///< Its engine is to be asked to end the attempt; until that is certain it waits.
+  kWait,        ///< Wait for the budget; takeDueStreams() returns the stream later.
+  kFenceFirst,  ///< Fence the attempt; the stream waits until the attempt is certain to have ended.
   kGiveUp
 };
 /// A disposition with its reason.
 struct Decision {
   Disposition disposition = Disposition::kGiveUp;
-  std::string reason;  ///< For the records, and for the client where the stream is given up.
+  std::string reason;  ///< For the records, and for the client if the stream is given up.
 };
 
-/// One router's streams, from their first token until forget(). Not thread-safe. `now` never goes back.
+/// Tracks one router's streams from their first token until forget(), and owns the budget of continuations.
+/// Not thread-safe. `now` must not decrease between calls.
 class Recovery {
  public:
   explicit Recovery(Limits limits);
-  /// Earlier classes keep their index and their idempotency; more may follow. The other limits stay.
+  /// Existing classes keep their index and their idempotency; new ones are appended. The other limits do not
+  /// change.
   void updateClasses(std::vector<Idempotency> idempotency, std::vector<double> priorityWeights,
                      int maxAttempts);
 
-  /// Whether streams of this class are ever continued, so that their text is to be buffered.
+  /// Whether streams of this class can be continued, so that the host has to buffer their text.
   bool isResumable(std::size_t classIndex) const;
 
-  // ---- Streams that run ----
-  /// A continuation of a known stream keeps what counts as buffered for it.
+  // ---- Running streams ----
+  /// A stream has started or was continued; a continuation keeps its count of buffered bytes.
   void onStreamStarted(Instant now, StreamKey stream, const Stream& started);
-  /// A token has come. False once the buffered text exceeds its limit: the stream cannot be continued any
-  /// more.
+  /// A token was received. Returns false once the buffered text exceeds its limit: the stream can no longer
+  /// be continued.
   bool onToken(Instant now, StreamKey stream, std::size_t bytes);
-  /// The client takes nothing, so that the stream's silence is not its engine's.
+  /// While the client does not read, a pause of the stream does not count as silence of the engine.
   void onClientPaused(Instant now, StreamKey stream, bool paused);
-  /// The engine is to shut down at `endsAt`; absent: it stays after all. One that is still listed then has
-  /// stayed.
+  /// The engine will shut down at `endsAt`; absent: the shutdown was called off. An engine that is still
+  /// listed after `endsAt` counts as running again.
   void onEngineShutdownNotice(EngineId engine, std::optional<Instant> endsAt);
-  /// The engine is to shut down, and does not say when.
+  /// The engine will shut down at a time that it does not state; Limits::goAwayGrace is assumed.
   void onGoAway(Instant now, EngineId engine);
 
-  /// A stream to be taken from its engine.
+  /// A stream to migrate, with the reason for the records.
   struct Migration {
     StreamKey stream = 0;
     const char* reason = "";
   };
-  /// Streams to be taken from their engines now, the greatest priority weight first. Each has its share of
-  /// the budget: onStreamLost() continues it as soon as its attempt has ended for certain. These are streams
-  ///  - that are silent for too long, against the token interval of their class, while others go on (where
-  ///  all stand
-  ///    still none is migrated),
-  ///  - that would miss their deadline at their own rate and meet it at their class's,
-  ///  - whose engine is about to shut down, spread over the time that is left.
+  /// Streams to be taken from their engines now, in descending order of priority weight. Their continuation
+  /// is already charged to the budget: onStreamLost() continues them as soon as their attempt is certain to
+  /// have ended. A stream is migrated if
+  ///  - it is silent for too long, compared to the token interval of its class, while others receive tokens
+  ///    (if all are silent, none is migrated),
+  ///  - it would miss its deadline at its own rate and meet it at the rate of its class,
+  ///  - its engine is about to shut down; these migrations are spread over the remaining time.
   std::vector<Migration> streamsToMigrate(Instant now);
 
-  // ---- Streams that are lost ----
-  /// A stream has ended early, or was cancelled by the host. A stream that waits stays known until
-  /// takeDueStreams() names it or forget().
+  // ---- Lost streams ----
+  /// A stream has ended early, or was cancelled by the host. A waiting stream is tracked until
+  /// takeDueStreams() returns it or forget() is called.
   Decision onStreamLost(Instant now, const LostStream& stream);
-  /// The engine has confirmed that the attempt has ended: whether the stream is continued now, or waits.
+  /// The engine has confirmed that the attempt has ended. Returns whether the stream is continued now or
+  /// waits.
   Disposition onAttemptFenced(Instant now, StreamKey stream);
-  /// Streams that wait, by what is to be done with them now.
+  /// Waiting streams that need an action now.
   struct DueStreams {
-    std::vector<StreamKey> toContinue;  ///< Now, the greatest priority weight first.
-    std::vector<StreamKey> toGiveUp;    ///< They have waited for too long.
-    std::vector<StreamKey> toFence;     ///< Their engine is to be asked, perhaps again.
+    std::vector<StreamKey> toContinue;  ///< In descending order of priority weight.
+    std::vector<StreamKey> toGiveUp;    ///< Streams that have waited longer than allowed.
+    std::vector<StreamKey> toFence;     ///< Streams whose attempt is to be fenced, possibly once more.
   };
-  /// What is to be done with streams that wait. Those to continue or to give up wait no longer.
+  /// Returns the waiting streams that need an action; those to continue or to give up no longer wait.
   DueStreams takeDueStreams(Instant now);
-  /// The request is over, whether its stream runs or waits.
+  /// The request is over: stops tracking its stream, running or waiting.
   void forget(StreamKey stream);
-  /// A new request's prefill has started: continuations earn their share.
+  /// A new request's prefill has started: adds rebuildShare of its tokens to the budget.
   void onPrefillStarted(double tokens);
 
-  /// When streamsToMigrate() and takeDueStreams() are to be called; absent: there is no stream.
+  /// When streamsToMigrate() and takeDueStreams() are to be called next; absent if there is no stream.
   std::optional<Instant> nextCheck() const;
-  /// Text of all streams that the host is to have buffered.
+  /// Bytes of text that the host has to keep buffered for all streams.
   std::uint64_t bufferedBytes() const { return bufferedBytes_; }
 
  private:
-  // From the first token on, also while it waits for a continuation.
+  // A stream from its first token on, also while it waits for a continuation.
   struct TrackedStream {
     Stream start;
     Instant lastTokenAt, slowSince;
-    Duration tokenInterval{0};  // its own at this engine, averaged
+    Duration tokenInterval{0};  // of this stream at this engine, smoothed
     std::uint64_t tokens = 0;   // since it started at this engine
     std::uint64_t bufferedBytes = 0;
     bool isPaused = false;
     bool isBufferComplete = true;  // the whole text is buffered
     bool isLost = false;
-    bool hasBudget = false;  // its continuation is paid for
+    bool hasBudget = false;  // its continuation is charged to the budget
     bool isSlow = false;
   };
   struct WaitingStream {
     LostStream lost;
     Instant since;
-    Instant attemptEndsAt;  // when its attempt has ended for certain
-    Instant fenceAt;        // when its engine is asked next
+    Instant attemptEndsAt;  // when the attempt is certain to have ended
+    Instant fenceAt;        // when the next fence request is due
     bool hasBudget = false;
   };
   struct MigrationCandidate {
     Migration migration;
     double priorityWeight = 0;
     double tokensToPrefill = 0;
-    std::optional<EngineId> endingEngine;  // where that is the reason
+    std::optional<EngineId> endingEngine;  // set if its shutdown is the reason
   };
 
-  // Null where nothing stands against it.
+  // Null if the stream may be continued.
   const char* reasonAgainstContinuation(const LostStream& stream) const;
   bool canMigrate(Instant now, StreamKey key, const TrackedStream& stream) const;
   const char* reasonToMigrate(Instant now, const TrackedStream& stream) const;
@@ -209,7 +212,7 @@
   std::unordered_map<StreamKey, TrackedStream> streams_;
   std::map<StreamKey, WaitingStream> waiting_;
   std::vector<Duration> classTokenIntervals_;  // typical time between two tokens, by class
-  Instant lastTokenAt_{};                      // of any stream
+  Instant lastTokenAt_{};                      // last token of any stream
   double budget_;                              // tokens that continuations may prefill
   std::uint64_t bufferedBytes_ = 0;
   std::map<EngineId, Instant> shutdownAt_;
--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -1,9 +1,9 @@
 // The sans-I/O core of a router: the lifecycle of requests between clients, engines and the decision module.
 //
-// The host feeds the core what happens, with the time, and carries out the commands that it gives. All
-// routing is decided by the Policy inside. The core keeps the books and the invariants that need no decision:
-// one final response per request, one attempt in flight, nothing after the final response, every state
-// released.
+// The host passes events and their time to the core and carries out the commands that it returns. The Policy
+// inside makes all routing decisions. The core tracks requests and calls, and enforces the invariants that
+// need no decision: one final response per request, at most one attempt of a request in flight, nothing after
+// the final response, every state released.
 #pragma once
 
 #include <array>
@@ -21,44 +21,44 @@
 
 namespace gannetcourse::router {
 
-/// New settings under which an open request would get another meaning; the text names what is in the way.
+/// New settings that cannot be applied because they would change the meaning of open requests; what() states
+/// the conflict.
 class IncompatibleSettings : public std::invalid_argument {
  public:
   using std::invalid_argument::invalid_argument;
 };
 
-using RequestKey = std::uint64_t;  ///< The host's number of a request; never used twice.
-using CallKey = std::uint64_t;     ///< The core's number of a call to an engine; never used twice.
+using RequestKey = std::uint64_t;  ///< Id of a request, assigned by the host; never reused.
+using CallKey = std::uint64_t;     ///< Id of a call to an engine, assigned by the core; never reused.
 
-/// What engines need to know of a request. The core forwards it unread.
+/// The content of a request as sent to engines. The core forwards it without interpreting it.
 struct RequestPayload {
   std::string requestClass, tenant, session, prefixKey, prompt;
-  std::string target;  ///< Request target, where the engines' protocol forwards the client's; else empty.
-  std::string headerFields;  ///< Forwarded header lines, each with its line end.
+  std::string target;  ///< Request target of the client, if the engines' protocol forwards it; else empty.
+  std::string headerFields;  ///< Forwarded header lines, each including its line end.
   std::uint32_t prefixTokens = 0, promptTokens = 0, maxOutputTokens = 0;
   std::uint64_t seed = 0;
-  std::uint32_t firstTokenIndex = 0;  ///< Of a continuation: earlier tokens were sent and end the prompt.
+  std::uint32_t firstTokenIndex = 0;  ///< Index of the next token; the earlier ones are part of the prompt.
 };
 
-/// An answer that broke off with another router or another call, and that its client wants the rest of.
+/// A stream that broke off at another router or in an earlier call and that its client asks to continue.
 struct ResumedStream {
-  std::string id;                    ///< Its name at the engines.
-  int attempt = 0;                   ///< The newest attempt that the client knows of.
-  EngineId engine;                   ///< Where that attempt ran.
-  std::uint32_t nextTokenIndex = 0;  ///< Tokens that the client has.
-  std::string generatedText;         ///< The same as text.
+  std::string id;                    ///< The request's id at the engines.
+  int attempt = 0;                   ///< The latest attempt that the client knows of.
+  EngineId engine;                   ///< The engine of that attempt.
+  std::uint32_t nextTokenIndex = 0;  ///< Number of tokens that the client has received.
+  std::string generatedText;         ///< The text of these tokens.
 };
 
 /// A client's request as the host accepts it.
 struct NewRequest {
   RequestKey key = 0;
-  std::string id;  ///< Its name for engines, of no other open request; empty = the core names it.
-  Duration timeUntilDeadline{0};  ///< Until the client gives up on the complete answer.
-  bool deadlineEndsAtFirstToken =
-      false;                      ///< The deadline is met by the first token; the stream has no limit.
-  Duration firstTokenTimeout{0};  ///< Until the client gives up on the first token; 0 = timeUntilDeadline.
-  std::size_t classIndex = 0;     ///< In Settings::classes.
-  std::optional<std::size_t> tenant;
+  std::string id;  ///< Its id at the engines, unique among open requests; empty = the core assigns one.
+  Duration timeUntilDeadline{0};          ///< Longest wait of the client for the complete answer.
+  bool deadlineEndsAtFirstToken = false;  ///< The deadline limits the first token, not the stream.
+  Duration firstTokenTimeout{0};          ///< Longest wait for the first token; 0 = timeUntilDeadline.
+  std::size_t classIndex = 0;             ///< Index in Settings::classes.
+  std::optional<std::size_t> tenant;      ///< Index in Settings::tenants.
   bool isRetry = false;
   std::uint64_t sessionKey = 0, prefixKey = 0;  ///< Hashes, the same on all routers; 0 = none.
   std::optional<Duration> expectedOutputDuration;
@@ -66,44 +66,45 @@
   std::optional<ResumedStream> resumedStream;
 };
 
-// ---- Commands: to be carried out in the order given ----
+// ---- Commands: the host carries them out in the order given ----
 
 /// How a request ended.
 enum class FinalStatus { kServed, kRejected, kFailed, kDeadlineExceeded };
-const char* nameOf(FinalStatus status);  ///< The name on the wire.
+const char* nameOf(FinalStatus status);  ///< The status as sent on the wire.
 
-/// Starts a prefill call; it ends with onPrefillEnded() or onCallEnded().
+/// Starts a prefill call; the host reports its end by onPrefillEnded() or onCallEnded().
 struct StartPrefill {
   CallKey call = 0;
   RequestKey request = 0;
-  std::string id;  ///< The request's name for engines.
+  std::string id;  ///< The request's id at the engines.
   int attempt = 0;
   EngineId engine;
-  Duration timeUntilDeadline{0};  ///< For the engine's information; the core keeps the time.
-  Duration timeout{0};            ///< How long the core waits for the end of this prefill.
+  Duration timeUntilDeadline{0};  ///< Sent to the engine for information; the core enforces the deadline.
+  Duration timeout{0};            ///< How long the core waits for the prefill to end.
   std::shared_ptr<const RequestPayload> payload;
 };
 
-/// Starts a decode call: tokens, then onCallEnded().
+/// Starts a decode call; the host reports its tokens by onToken() and its end by onCallEnded().
 struct StartDecode {
   CallKey call = 0;
   RequestKey request = 0;
   std::string id;
   int attempt = 0;
   EngineId engine;
-  std::optional<EngineId> prefillEngine;  ///< Where the state waits; absent: the engine does its own prefill.
+  std::optional<EngineId> prefillEngine;  ///< Keeps the state; absent: the decode engine also prefills.
   std::string stateHandle;
   Duration timeUntilDeadline{0};
   Duration timeout{0};  ///< How long the core waits for the first token.
   std::shared_ptr<const RequestPayload> payload;
 };
 
-/// The call is over: nothing of it may reach the core any more.
+/// Cancels a call: the host must not report anything further of it to the core.
 struct CancelCall {
   CallKey call = 0;
 };
 
-/// Asks a decode engine to reserve capacity for `tokens` prompt tokens; see onReservationResult().
+/// Asks a decode engine to reserve capacity for `tokens` prompt tokens; the host reports the answer by
+/// onReservationResult().
 struct ReserveCapacity {
   RequestKey request = 0;
   std::string id;
@@ -112,14 +113,14 @@
   std::uint32_t tokens = 0;
 };
 
-/// Releases what the engine holds for the request by attempts up to this one.
+/// Releases the states and reservations that the engine holds for the request's attempts up to this one.
 struct ReleaseState {
   std::string id;
   int attempt = 0;
   EngineId engine;
 };
 
-/// Asks the engine to end attempts up to this one, and to reject them from then on.
+/// Asks the engine to end the request's attempts up to this one, and to reject them from then on.
 struct FenceAttempt {
   RequestKey request = 0;
   std::string id;
@@ -127,7 +128,8 @@
   EngineId engine;
 };
 
-/// What a client must know to have its answer continued elsewhere; tokens follow.
+/// Data that a client needs to resume its stream later, also at another router. Sent before the tokens of
+/// each attempt if the stream can be continued.
 struct ResumePoint {
   RequestKey request = 0;
   std::string id;
@@ -135,115 +137,115 @@
   EngineId engine;
 };
 
-/// One token for the client. Indexes begin at 0, or where a resumed stream broke off, and have no gaps.
+/// One token for the client. Indexes begin at 0, or at ResumedStream::nextTokenIndex, and have no gaps.
 struct SendToken {
   RequestKey request = 0;
   std::uint32_t index = 0;
   std::string text;
 };
 
-/// The one final response.
+/// The final response; each request gets exactly one.
 struct FinalResponse {
   RequestKey request = 0;
   FinalStatus status = FinalStatus::kFailed;
-  Duration retryAfter{0};  ///< Advice with kRejected; 0 = none.
+  Duration retryAfter{0};  ///< Retry-After of a rejection (kRejected); 0 = none.
   std::string reason;
 };
 
-/// Sends a health check; it ends with onProbeEnded().
+/// Sends a health check; the host reports its result by onProbeEnded().
 struct ProbeEngine {
   EngineId engine;
 };
 
-/// Watches the engine list; updates come by onEngineListUpdate().
+/// Subscribes to the engine list; the host reports updates by onEngineListUpdate().
 struct Subscribe {};
-/// Fetches the engine list once; it comes by onEngineListUpdate().
+/// Fetches the engine list once; the host reports it by onEngineListUpdate().
 struct Fetch {};
 
-/// What a record tells of.
+/// The event that a Record documents.
 enum class RecordKind {
-  kRequestAccepted,  ///< A request came; the reason is its class, its token counts and its objectives.
-  kServed,           ///< The final response, by its FinalStatus.
+  kRequestAccepted,  ///< A request was accepted; the reason has its class, token counts and objectives.
+  kServed,           ///< Final response with this FinalStatus; likewise the next three.
   kRejected,
   kFailed,
   kDeadlineExceeded,
   kClientDisconnected,  ///< The client ended the request before its final response.
-  kPrefillStarted,      ///< An attempt; the reason is what the policy expects of it.
-  kPrefillCompleted,    ///< The reason is the number of tokens that the engine had cached.
+  kPrefillStarted,      ///< A prefill attempt; the reason has the duration and cached tokens expected.
+  kPrefillCompleted,    ///< The reason has the number of tokens that the engine had cached.
   kDecodeStarted,
-  kStreamStarted,          ///< The first token came.
-  kStreamCompleted,        ///< The last token came; the reason is the number of tokens where it is known.
+  kStreamStarted,          ///< The first token was received.
+  kStreamCompleted,        ///< The last token was received; the reason has the number of tokens, if known.
   kAttemptFailed,          ///< A call failed; the reason has its status.
-  kCallCancelled,          ///< The router ended a call; the reason says why.
+  kCallCancelled,          ///< The router cancelled a call; the reason says why.
   kCapacityRequested,      ///< A decode engine was asked to reserve capacity.
-  kStateReleased,          ///< An engine is to release the request's state.
-  kOrphanedStateReleased,  ///< The same for an attempt that was given up, by the request's name.
-  kStreamLost,             ///< The stream ended early or was taken from its engine; it may be continued.
+  kStateReleased,          ///< An engine was asked to release the request's state.
+  kOrphanedStateReleased,  ///< The same for an abandoned attempt, identified by the request's id.
+  kStreamLost,             ///< The stream ended early or was migrated; it may be continued.
   kAttemptFenced,          ///< The engine confirmed that the lost attempt has ended.
   kStreamContinued,        ///< Another engine continues the stream; the reason says from which token.
-  kStreamResumed,          ///< The client brought a stream of another router or of an earlier call.
+  kStreamResumed,          ///< The client asked to resume a stream of another router or an earlier call.
   kNotResumable,           ///< The stream can no longer be continued.
-  kInvariantViolation,     ///< The reason is the name of the Violation.
+  kInvariantViolation,     ///< The reason has the name of the Violation.
   kReconfigured,
   kDraining,    ///< New requests are rejected from now on.
-  kPolicyNote,  ///< The reason is the policy's text.
+  kPolicyNote,  ///< The reason has the text of the policy's Log action.
   kCount
 };
 /// The name in the log; docs/node.md lists them.
 const char* nameOf(RecordKind kind);
 
-/// One line of the router's own log of decisions; every decision leaves one.
+/// One entry of the router's decision log; every decision adds one.
 struct Record {
   Instant at;
-  std::string request;  ///< Its name for engines; empty where it concerns none.
+  std::string request;  ///< The request's id at the engines; empty if none is concerned.
   RecordKind kind = RecordKind::kPolicyNote;
   std::optional<EngineId> engine;
   int attempt = -1;  ///< -1 = none.
   std::string reason;
 };
 
-/// What the host is to carry out; commands own what they carry.
+/// A command to the host. Commands own their data.
 using Command =
     std::variant<StartPrefill, StartDecode, CancelCall, ReserveCapacity, ReleaseState, FenceAttempt,
                  ResumePoint, SendToken, FinalResponse, ProbeEngine, Subscribe, Fetch, Record>;
 
-/// What a core needs to know beside the settings, for as long as it lives.
+/// Options of a core that stay the same for its lifetime.
 struct Options {
-  std::string nodeName = "node";  ///< Unique among routers and starts: request names begin with it.
-  Duration responseMargin{0.05};  ///< How long before the client's deadline a running stream is ended.
-  bool recordsEnabled = true;     ///< Records of decisions; violations are recorded in any case.
-  recovery::Limits recovery;      ///< Classes and attempts are filled in from the settings.
+  std::string nodeName = "node";  ///< Prefix of request ids; unique for each router and each start of it.
+  Duration responseMargin{0.05};  ///< A running stream is ended this long before the client's deadline.
+  bool recordsEnabled = true;     ///< Whether decisions are recorded; violations always are.
+  recovery::Limits recovery;      ///< The core sets the classes and maxAttempts from the settings.
 };
 
-/// An invariant that something in this program would have broken, or has. What would have is not carried out.
+/// An invariant that a fault in this program has broken, or would have broken by an action that was blocked.
 enum class Violation {
-  kSecondResponse,           ///< A request was answered again ...
-  kLateResponse,             ///< ... or after its client's deadline.
-  kAttemptAfterResponse,     ///< An attempt of an answered request.
+  kSecondResponse,           ///< A second final response to a request.
+  kLateResponse,             ///< A final response after the client's deadline.
+  kAttemptAfterResponse,     ///< An attempt after the request's final response.
   kConcurrentAttempts,       ///< A second attempt while one is in flight.
-  kDuplicateEffect,          ///< An attempt that could have a second effect.
-  kRejectedAfterStart,       ///< A rejection though an attempt may have run.
-  kAttemptToDrainingEngine,  ///< An attempt to an engine that drains or is off the list.
-  kStateLeaseExpired,        ///< A state was leased for longer than the limit.
+  kDuplicateEffect,          ///< An attempt that could repeat the effect of an earlier one.
+  kRejectedAfterStart,       ///< A rejection although an attempt may have run.
+  kAttemptToDrainingEngine,  ///< An attempt to an engine that drains or is not listed.
+  kStateLeaseExpired,        ///< A state was held for longer than Settings::stateLeaseLimit.
   kCount
 };
-/// The name in the log and in the account line.
+/// The name in the log and in the router's account line.
 const char* nameOf(Violation violation);
 using ViolationCounts = std::array<std::uint64_t, static_cast<std::size_t>(Violation::kCount)>;
 std::uint64_t total(const ViolationCounts& counts);
-std::string textOf(const ViolationCounts& counts);  ///< "2,repeat:1,pinned:1"
+std::string textOf(const ViolationCounts& counts);  ///< Total, then names with counts: "2,repeat:1,pinned:1".
 
 /// Counters since the start of the core.
 struct Counters {
   std::uint64_t accepted = 0, resumed = 0;
   std::uint64_t served = 0, rejected = 0, failed = 0, deadlineExceeded = 0, clientsDisconnected = 0;
   std::uint64_t attempts = 0, tokens = 0, continued = 0;
-  std::uint64_t droppedTokens = 0;   ///< Of calls that were over, or a second time.
-  std::uint64_t actionsBlocked = 0;  ///< Actions of the policy that the core did not carry out.
+  std::uint64_t droppedTokens = 0;   ///< Tokens of calls that were over, and duplicates.
+  std::uint64_t actionsBlocked = 0;  ///< Actions of the policy that the core refused to carry out.
 };
 
-/// One router. Inputs go in by its methods, commands come out of takeCommands(). Not thread-safe; two cores
-/// share nothing. In each method `now` never goes back.
+/// One router. The host reports inputs by the on...() methods and fetches commands by takeCommands(). Not
+/// thread-safe; two cores share nothing. `now` must not decrease between calls.
 class Core {
  public:
   Core(const Settings& settings, Options options);
@@ -257,44 +259,45 @@
   // ---- Clients ----
   void onRequest(Instant now, NewRequest request);
   void onClientDisconnected(Instant now, RequestKey request);
-  /// Whether the client takes nothing for now; no effect where the request has no stream.
+  /// The client has stopped reading (`paused`) or reads again; no effect if the request has no stream.
   void onClientPaused(Instant now, RequestKey request, bool paused);
 
-  // ---- Engines. Calls that are over already are passed over. ----
-  /// A prefill has ended well: its state waits at the engine under `stateHandle`.
+  // ---- Engines. Reports of calls that are already over are ignored. ----
+  /// A prefill has succeeded; the engine keeps its state under `stateHandle`.
   void onPrefillEnded(Instant now, CallKey call, std::string stateHandle, double cachedTokens,
                       const std::optional<LoadReport>& load);
   void onToken(Instant now, CallKey call, std::uint32_t index, std::string text);
-  /// A call has ended; kOk where it answered to its end.
+  /// A call has ended; `outcome` is kOk if the answer is complete.
   void onCallEnded(Instant now, CallKey call, Outcome outcome, double cachedTokens,
                    const std::optional<LoadReport>& load, const std::string& reason,
                    recovery::AttemptEnd attemptEnd = recovery::AttemptEnd::kConfirmed);
-  /// The engine's answer to a FenceAttempt: nothing of it runs there any more.
+  /// The engine has confirmed a FenceAttempt: the attempt no longer runs there.
   void onAttemptFenced(Instant now, RequestKey request, int attempt);
-  /// The engine is to end at `endsAt` (absent: it stays after all); its long streams are migrated in time.
+  /// The engine will shut down at `endsAt` (absent: the shutdown was called off); its long streams are
+  /// migrated before.
   void onEngineShutdownNotice(Instant now, EngineId engine, std::optional<Instant> endsAt);
-  void onGoAway(Instant now, EngineId engine);  ///< The engine says that it ends, not when.
+  void onGoAway(Instant now, EngineId engine);  ///< The engine will shut down at an unknown time.
   void onProbeEnded(Instant now, EngineId engine, Outcome outcome, Duration elapsed,
                     const std::optional<LoadReport>& load);
   void onReservationResult(Instant now, RequestKey request, EngineId engine, bool reserved);
 
   // ---- The host ----
-  /// New settings in service; see SettingsChanged. Open requests stay open, with their attempts and their
-  /// states. Throws IncompatibleSettings where an earlier class or tenant is missing or has another
-  /// idempotency; then nothing has changed.
+  /// Applies new settings; see SettingsChanged. Open requests keep their attempts and states. Throws
+  /// IncompatibleSettings, without any change, if an existing class or tenant is missing or the idempotency
+  /// of a class differs.
   void reconfigure(Instant now, const Settings& settings);
-  void drain(Instant now);    ///< From now on new requests are rejected.
-  void advance(Instant now);  ///< Does what has come due.
+  void drain(Instant now);    ///< Rejects new requests from now on.
+  void advance(Instant now);  ///< Handles the timers that are due.
 
-  std::optional<Instant> nextWakeup() const;  ///< When advance() is to be called.
+  std::optional<Instant> nextWakeup() const;  ///< When advance() is to be called next.
   std::vector<Command> takeCommands();        ///< Commands since the last call.
-  /// The same into a vector that is used again and again; false where there are none.
+  /// Like takeCommands(), but reuses the caller's vector; returns false if there are no commands.
   bool takeCommandsInto(std::vector<Command>& commands);
 
   bool isDraining() const;
-  std::size_t openRequests() const;                 ///< Requests without their final response.
-  std::size_t pendingObligations() const;           ///< ... and answered ones with a call in flight.
-  CallKey streamingCall(RequestKey request) const;  ///< The call that answers it; 0 = none.
+  std::size_t openRequests() const;        ///< Requests without their final response.
+  std::size_t pendingObligations() const;  ///< Open requests, and answered ones with a call in flight.
+  CallKey streamingCall(RequestKey request) const;  ///< The call that streams its tokens; 0 = none.
   const Counters& counters() const;
   const ViolationCounts& violations() const;
 
