--- a/src/discovery/engine_list.h
+++ b/src/discovery/engine_list.h
@@ -1,4 +1,4 @@
-// The engine list as the node's sources give it, and its translation into the decision module's numbers.
+// The engine list as read from a registry or a file, and its translation into the decision module's terms.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace gannetcourse::discovery {
 
-/// One engine with all that its source gives of it.
+/// One entry of an engine list.
 struct Engine {
   EngineEntry entry;
   net::Endpoint address;
   std::string zone;
-  std::int64_t startedUnixMs = 0;     ///< 0 = long ago.
+  std::int64_t startedUnixMs = 0;     ///< 0 = long ago, time unknown.
   std::int64_t shutdownUnixMs = 0;    ///< 0 = no shutdown is announced.
-  std::optional<Instant> shutdownAt;  ///< The same on the router's clock; see EntryResolver.
+  std::optional<Instant> shutdownAt;  ///< shutdownUnixMs on the router's clock.
 };
 
-/// One message of a source: the whole list, or its changes.
+/// One update from a registry or a file: the whole list, or its changes.
 struct EngineList {
   EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot;
   std::uint64_t version = 0;
@@ -29,21 +29,21 @@
   EngineListUpdate toPolicyUpdate() const;
 };
 
-/// Translates zone names and wall-clock times into the decision module's numbers, always alike within one
-/// process. Not thread-safe.
+/// Translates zone names to indices and wall-clock times to instants, consistently within one process. Not
+/// thread-safe.
 class EntryResolver {
  public:
   /// `now` and `unixMsNow` are the same moment on both clocks.
   EntryResolver(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow);
 
-  /// For a reload: earlier zones stand at their earlier indices, new ones after them.
+  /// For a reload. Existing zones must keep their indices; new ones follow them.
   void setZones(std::vector<std::string> zones) { zones_ = std::move(zones); }
 
-  /// The zone's number. Unknown zones share one that no known zone has.
+  /// Index of the zone. All unknown zones share the index after the last known one.
   std::uint32_t zoneNumber(const std::string& name) const;
-  /// A wall-clock time on the router's clock; nothing for 0.
+  /// Converts a wall-clock time to the router's clock; nothing for 0.
   std::optional<Instant> toInstant(std::int64_t unixMs) const { return clock_.instant(unixMs); }
-  /// Fills in the zone's number and the instants of an engine.
+  /// Fills in the zone index and the instants of an engine.
   void resolve(Engine& engine) const;
 
  private:
@@ -51,7 +51,7 @@
   net::WallClock clock_;
 };
 
-/// The current engines, kept up to date from snapshots and deltas.
+/// Keeps the current engines by applying snapshots and deltas.
 class EngineListState {
  public:
   void apply(const EngineList& list);
--- a/src/discovery/engine_list_cache.cpp
+++ b/src/discovery/engine_list_cache.cpp
@@ -34,7 +34,7 @@
   return ::close(fd) == 0 && written;
 }
 
-// Written and synced beside the file, then renamed over it: readers find the old text or the new one.
+// Writes and syncs a temporary file, then renames it to `path`: readers see either the old or the new text.
 bool replaceFile(const std::string& path, const std::string& text) {
   const std::string temporary = path + ".new";
   return writeFile(temporary, text) && std::rename(temporary.c_str(), path.c_str()) == 0;
@@ -84,7 +84,7 @@
   std::string pendingText_;  // guarded by mutex_; empty = nothing to write
   bool stopped_ = false;     // guarded by mutex_
   std::atomic<std::uint64_t> failures_{0};
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last: it uses the other members
 };
 
 EngineListCache::EngineListCache(std::string path) {
--- a/src/discovery/engine_list_cache.h
+++ b/src/discovery/engine_list_cache.h
@@ -1,4 +1,4 @@
-// The file that keeps the newest engine list for the node's next start.
+// Caches the newest engine list in a file, for the node's next start.
 #pragma once
 
 #include <cstdint>
@@ -7,18 +7,18 @@
 
 namespace gannetcourse::discovery {
 
-/// Writes the newest of the texts it is given to a file, on a thread of its own: a slow disk delays nobody.
-/// The file holds a whole text at any time, also after a crash.
+/// Owns a thread that writes the newest engine list, so that a slow disk does not block the loop. The file
+/// always contains a complete list, also after a crash.
 class EngineListCache {
  public:
-  explicit EngineListCache(std::string path);  ///< Empty: writes nothing.
-  ~EngineListCache();                          ///< Waits until the last text is written.
+  explicit EngineListCache(std::string path);  ///< Empty = nothing is written.
+  ~EngineListCache();                          ///< Waits until the last list is written.
   EngineListCache(const EngineListCache&) = delete;
   EngineListCache& operator=(const EngineListCache&) = delete;
 
-  /// Replaces a text that is not yet written.
+  /// Writes `text` in the background, instead of an earlier one that is not written yet.
   void save(std::string text);
-  /// Writes that have failed since the start.
+  /// Number of writes that have failed.
   std::uint64_t failures() const;
 
  private:
--- a/src/discovery/engine_list_file.cpp
+++ b/src/discovery/engine_list_file.cpp
@@ -38,8 +38,9 @@
   engine.shutdownUnixMs = static_cast<std::int64_t>(element.number("leaves-unix-ms", 0));
   const auto address = net::parseEndpoint(element.text("address"));
   if (!address || address->port == 0) {
-    faults.push_back(element.fault("address '" + element.text("address") + "' cannot be connected to",
-                                   "write a.b.c.d:port"));
+    faults.push_back(
+        element.fault("address '" + element.text("address") + "' is not an IPv4 address and port",
+                      "write a.b.c.d:port with a port from 1 to 65535"));
   } else {
     engine.address = *address;
   }
@@ -70,7 +71,8 @@
     list.engines.push_back(readEngine(element, resolver, faults));
     const EngineId id = list.engines.back().entry.id;
     if (!ids.insert(id).second)
-      faults.push_back(element.fault("engine " + std::to_string(id.value) + " is there twice", "remove one"));
+      faults.push_back(
+          element.fault("engine " + std::to_string(id.value) + " is listed twice", "remove one"));
   }
   if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return list;
--- a/src/discovery/engine_list_file.h
+++ b/src/discovery/engine_list_file.h
@@ -1,4 +1,4 @@
-// Engine lists as XML: <fleet xmlns="urn:gannetcourse:fleet:1"> of <engine .../>.
+// Reads and writes engine lists as XML: <fleet xmlns="urn:gannetcourse:fleet:1"> of <engine .../>.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace gannetcourse::discovery {
 
-/// Reads a whole list. Throws config::InvalidFile where it cannot be read, does not fit the schema, has an
-/// engine twice or an address that nothing can connect to.
+/// Reads a whole list. Throws config::InvalidFile if the file cannot be read, does not match the schema,
+/// lists an engine twice, or has an address that is no IPv4 address with a port above 0.
 EngineList loadEngineListFile(const std::string& path, const EntryResolver& resolver);
 
-/// The list as text that loadEngineListFile() reads; removed engines are left out.
+/// Formats the list for loadEngineListFile(), without removed engines.
 std::string formatEngineList(const EngineList& list);
 
 /// The built-in XML schema of these files.
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -43,7 +43,7 @@
   if (address) {
     engine.address = *address;
   } else {
-    // Nothing can be sent to an engine without a usable address.
+    // An engine without a valid address cannot be used.
     engine.entry.state = EngineEntry::State::kRemoved;
   }
   resolver.resolve(engine);
--- a/src/discovery/registry_watch.h
+++ b/src/discovery/registry_watch.h
@@ -10,13 +10,13 @@
 
 namespace gannetcourse::discovery {
 
-/// One watch at a time of one registry. When to subscribe again is the decision module's choice.
+/// Keeps at most one watch open on one registry. The decision module decides when to subscribe again.
 class RegistryWatch {
  public:
-  /// Receives each message of the watch; scope kFetchFailed: it could not be opened or has ended.
+  /// Receives each update. Scope kFetchFailed means that the watch could not be opened or has ended.
   using UpdateHandler = std::function<void(EngineList list)>;
 
-  /// `node` is the name that the registry sees. The loop and the resolver must outlive the watch.
+  /// `node` is this node's name for the registry. The loop and the resolver must outlive the watch.
   RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
                 const EntryResolver& resolver, const grpc::ChannelOptions& options, UpdateHandler onUpdate);
   ~RegistryWatch();
--- a/src/engines/call_outcome.h
+++ b/src/engines/call_outcome.h
@@ -1,4 +1,4 @@
-// What the end of a gRPC call to an engine means for the decision module.
+// Translates how a gRPC call to an engine ended into the decision module's terms.
 #pragma once
 
 #include "gannetcourse/policy.h"
@@ -7,11 +7,12 @@
 
 namespace gannetcourse::engines {
 
-/// The outcome of every way in which a call can end. What is known not to have run is kept apart from what
-/// may have run.
+/// Maps how a call ended to its outcome. Calls that certainly did not run (kConnectFailed, kRejected) have
+/// other outcomes than those that may have run.
 Outcome outcomeOf(const grpc::CallEnd& end);
 
-/// Whether the engine itself has ended the call, by status, reset, or closing the connection that it was on.
+/// kAbandoned if the engine may still be running the call. kConfirmed if it ended the call (by a status, a
+/// reset or closing the connection) or did not start it.
 recovery::AttemptEnd attemptEndOf(const grpc::CallEnd& end);
 
 }  // namespace gannetcourse::engines
--- a/src/engines/engine_transport.h
+++ b/src/engines/engine_transport.h
@@ -1,4 +1,4 @@
-// What a client of engines does for the node that runs the core, and what it reports back, whatever the
+// The interfaces between the node that runs the core and its client of the engines, independent of the
 // protocol.
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace gannetcourse::engines {
 
-/// Receives what engines do; router::Core's methods without the time.
+/// Receives the events of engines. The methods correspond to those of router::Core, without the time.
 class EngineEventHandler {
  public:
   virtual ~EngineEventHandler() = default;
-  /// `stateHandle` names the state that waits at the engine.
+  /// `stateHandle` identifies the prefilled state, which the engine keeps for the decode.
   virtual void onPrefillEnded(router::CallKey call, std::string stateHandle, double cachedTokens,
                               std::optional<LoadReport> load) = 0;
   virtual void onToken(router::CallKey call, std::uint32_t index, std::string text) = 0;
-  /// `reason` is for the records; empty for kOk.
+  /// `reason` is written to the records; empty for kOk.
   virtual void onCallEnded(router::CallKey call, Outcome outcome, double cachedTokens,
                            std::optional<LoadReport> load, const std::string& reason,
                            recovery::AttemptEnd attemptEnd) = 0;
@@ -29,21 +29,21 @@
   virtual void onReservationResult(router::RequestKey request, EngineId engine, bool reserved) = 0;
 };
 
-/// Carries out the core's commands that concern engines.
+/// Executes the core's commands that concern engines.
 class EngineTransport {
  public:
   virtual ~EngineTransport() = default;
   virtual void start(const router::StartPrefill& prefill) = 0;
   virtual void start(const router::StartDecode& decode) = 0;
-  /// Nothing of the call is reported any more.
+  /// Cancels the call. No further events of it are reported.
   virtual void cancelCall(router::CallKey call) = 0;
   virtual void reserve(const router::ReserveCapacity& reservation) = 0;
   virtual void releaseState(const router::ReleaseState& release) = 0;
   virtual void fenceAttempt(const router::FenceAttempt& fence) = 0;
   virtual void probe(EngineId engine) = 0;
-  /// Stops and resumes reading a stream whose client takes nothing for now.
+  /// Stops or resumes reading the stream of a call, for a client that does not read its response.
   virtual void pauseStream(router::CallKey call, bool paused) = 0;
-  /// Releases, fences, probes and reservations that are not done yet. A drain waits for them.
+  /// Number of releases, fences, probes and reservations in progress. A drain waits for them.
   virtual std::size_t auxiliaryCalls() const = 0;
 };
 
--- a/src/engines/grpc_engine_transport.cpp
+++ b/src/engines/grpc_engine_transport.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 const Duration kAuxiliaryCallTimeout{1};  // for reservations, fences and probes
-const Duration kReleaseTimeout{0.5};      // for one attempt at a release
+const Duration kReleaseTimeout{0.5};      // for each attempt of a release
 const Duration kReleaseRetryDelay{0.1};
-const Duration kReleaseRetryLimit{5};  // after this a release is given up
+const Duration kReleaseRetryLimit{5};  // a release that has not succeeded by then is abandoned
 constexpr std::size_t kMaxReleasesAwaitingRetry = 4096;
 
 constexpr const char* kNoAddress = "engine has no address";
@@ -43,7 +43,7 @@
   return std::string(grpc::nameOf(status.code)) + ": " + status.message;
 }
 
-// A probe is cancelled by its own time-out alone.
+// Probes are cancelled only when they time out.
 Outcome probeOutcomeOf(const grpc::CallEnd& end) {
   const Outcome outcome = outcomeOf(end);
   return outcome == Outcome::kCancelled ? Outcome::kTimeout : outcome;
@@ -87,7 +87,7 @@
   engine.channel->onGoaway = [this, id] { handler_.onGoAway(id); };
 }
 
-// A removed engine stays known until its last connection has ended.
+// A removed engine is kept until its last connection has closed.
 void GrpcEngineTransport::closeRemovedEngines() {
   for (auto& [id, engine] : engines_) {
     if (engine.removed && engine.channel) engine.channel->closeIdle();
@@ -104,7 +104,8 @@
   }
 }
 
-// Its calls end as broken. The channel may be in use further up the stack: it lives until the next iteration.
+// Ends the channel's calls with an error. The channel may be in use further up the call stack, so it is
+// destroyed in the next iteration of the loop.
 void GrpcEngineTransport::retireChannel(Engine& engine) {
   if (!engine.channel) return;
   const std::shared_ptr<grpc::Channel> retired = std::move(engine.channel);
@@ -186,7 +187,7 @@
   if (it == calls_.end()) return;
   v1::PrefillReply reply;
   if (!parse(reply, message)) return;
-  // The reply is complete: the prefill has ended well, and its status need not be awaited.
+  // A complete reply means that the prefill has succeeded; the call's status is not awaited.
   const std::shared_ptr<grpc::ClientCall> call = it->second.call;
   calls_.erase(it);
   call->onEnd = nullptr;
@@ -223,7 +224,7 @@
 void GrpcEngineTransport::pauseStream(router::CallKey key, bool paused) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
-  const std::shared_ptr<grpc::ClientCall> call = it->second.call;  // it may end within pause()
+  const std::shared_ptr<grpc::ClientCall> call = it->second.call;  // pause() may erase it from calls_
   call->pause(paused);
 }
 
@@ -280,7 +281,7 @@
 }
 
 void GrpcEngineTransport::retryRelease(const std::shared_ptr<const PendingRelease>& release) {
-  // The states of an engine that is off the list have ended with the connection to it.
+  // The states of a removed engine ended with the connection to it; there is nothing to release.
   if (engines_.count(release->engine) == 0) return;
   if (releasesAwaitingRetry_ >= kMaxReleasesAwaitingRetry || loop_.now() >= release->giveUpAt) return;
   ++releasesAwaitingRetry_;
--- a/src/engines/grpc_engine_transport.h
+++ b/src/engines/grpc_engine_transport.h
@@ -1,4 +1,4 @@
-// The engines' client over gRPC: carries out the core's calls and reports how each ended. Decides nothing.
+// The gRPC client of the engines: executes the core's calls and reports how each ended. Makes no decisions.
 #pragma once
 
 #include <functional>
@@ -20,16 +20,16 @@
 /// Owns the connections to all engines and the calls on them. Not thread-safe: runs on the loop's thread.
 class GrpcEngineTransport final : public EngineTransport {
  public:
-  /// `nodeName` is what engines know this node by; `lease` is how long they continue a stream after they last
-  /// heard of this node. The loop and the handler must outlive it.
+  /// `nodeName` identifies this node to the engines; `lease` is how long they continue a stream without
+  /// receiving anything from this node. The loop and the handler must outlive the transport.
   GrpcEngineTransport(net::Loop& loop, std::string nodeName, Duration lease,
                       const grpc::ChannelOptions& options, EngineEventHandler& handler);
   ~GrpcEngineTransport() override;
   GrpcEngineTransport(const GrpcEngineTransport&) = delete;
   GrpcEngineTransport& operator=(const GrpcEngineTransport&) = delete;
 
-  /// Follows the engine list: new addresses get connections; those of removed engines are closed as their
-  /// calls end.
+  /// Applies an update of the engine list: creates channels for new addresses, and closes the connections of
+  /// removed engines once they have no calls.
   void updateEngines(const discovery::EngineList& list);
 
   void start(const router::StartPrefill& prefill) override;
@@ -56,13 +56,13 @@
     double cachedTokens = 0;
     std::optional<LoadReport> load;
   };
-  // Any other call: short, and cut off after a time-out.
+  // A release, fence, probe or reservation; cancelled after a time-out.
   struct AuxiliaryCall {
     std::shared_ptr<grpc::ClientCall> call;
     net::TimerId timeout = 0;
   };
   using AuxiliaryCallEnd = std::function<void(const grpc::CallEnd&, const std::string& reply)>;
-  // A release is sent until its engine has taken it: the engine alone holds the state.
+  // Repeated until the engine confirms it, because the engine keeps the state until then.
   struct PendingRelease {
     EngineId engine;
     std::string message;
@@ -97,7 +97,7 @@
   std::unordered_map<std::uint64_t, AuxiliaryCall> auxiliaryCalls_;
   std::uint64_t lastAuxiliaryCall_ = 0;
   std::size_t releasesAwaitingRetry_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for callbacks that outlive this
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed, for later callbacks
 };
 
 }  // namespace gannetcourse::engines
--- a/src/frontend/chat_service.h
+++ b/src/frontend/chat_service.h
@@ -1,4 +1,4 @@
-// The chat service: accepts valid requests from gRPC clients and hands them to the router.
+// The chat service: accepts valid requests from gRPC clients and passes them to the router.
 #pragma once
 
 #include "frontend/router_handle.h"
--- a/src/frontend/chat_stream.cpp
+++ b/src/frontend/chat_stream.cpp
@@ -6,7 +6,8 @@
 namespace gannetcourse::frontend {
 namespace {
 
-// How long a client may take for its last bytes after the final response.
+// Time for a client to receive the remaining output after the final response. A call that takes longer is
+// abandoned.
 const Duration kLingerTimeout{1};
 
 void abandonAfterLinger(net::Loop& loop, const std::weak_ptr<grpc::ServerCall>& call) {
@@ -40,7 +41,7 @@
   message_.clear_resume();
   const std::size_t waitingBytes = call_->send(messageBytes_);
   if (waitingBytes < router_.settings().streamBufferBytes) return;
-  // Repeated for each token that still comes: another decode engine may have taken over, unpaused.
+  // Repeated for each further token, because after a continuation the new engine's stream is not paused.
   paused_ = true;
   router_.pauseRequest(key_, true);
 }
@@ -50,7 +51,7 @@
   call_->onDrained = nullptr;
   call_->finish(toGrpcStatus(response), toTrailers(response));
   if (call_->pendingBytes() == 0) return;
-  // Most responses are out by the end of this iteration: only the others need a timer.
+  // Most responses have been sent by the end of this iteration of the loop; only the others need a timer.
   router_.loop().defer(
       [&loop = router_.loop(), call = std::weak_ptr(call_)] { abandonAfterLinger(loop, call); });
 }
--- a/src/frontend/chat_stream.h
+++ b/src/frontend/chat_stream.h
@@ -11,10 +11,10 @@
 
 namespace gannetcourse::frontend {
 
-/// Pauses the request while its client has more to take than the settings' stream buffer.
+/// Pauses the request when the pending output reaches NodeSettings::streamBufferBytes, until all is sent.
 class ChatStream final : public ClientStream {
  public:
-  /// `resumePoint` is of makeResumePoint(). The router must outlive the stream.
+  /// `resumePoint` is made by makeResumePoint(). The router must outlive the stream.
   ChatStream(RouterHandle& router, std::shared_ptr<grpc::ServerCall> call, router::RequestKey key,
              v1::ResumePoint resumePoint);
 
@@ -22,21 +22,21 @@
   void sendToken(const router::SendToken& token) override;
   void sendFinalResponse(const router::FinalResponse& response) override;
 
-  /// The client has taken all that was sent.
+  /// Called when no output is pending any more: resumes a paused request.
   void onDrained();
 
  private:
   RouterHandle& router_;
   std::shared_ptr<grpc::ServerCall> call_;
   router::RequestKey key_;
-  v1::ResumePoint resumePoint_;  // becomes each resume token
+  v1::ResumePoint resumePoint_;  // the content of the next resume token
   v1::GenerateToken message_;    // reused for each token
   std::string messageBytes_;     // reused for each token
-  std::string resumeToken_;      // goes out with the next token; empty = none
+  std::string resumeToken_;      // to be sent with the next token; empty = none
   bool paused_ = false;
 };
 
-/// The status and the trailers of a final response.
+/// The gRPC status and trailers for a final response.
 grpc::Status toGrpcStatus(const router::FinalResponse& response);
 http2::Headers toTrailers(const router::FinalResponse& response);
 
--- a/src/frontend/client_stream.h
+++ b/src/frontend/client_stream.h
@@ -1,18 +1,20 @@
-// One client's request as the core's driver sees it, whatever the client's protocol.
+// The interface through which the core's driver responds to one request, independent of the client's
+// protocol.
 #pragma once
 
 #include "gannetcourse/router.h"
 
 namespace gannetcourse::frontend {
 
-/// Receives the response to one request.
+/// Sends the response to one request to its client.
 class ClientStream {
  public:
   virtual ~ClientStream() = default;
-  /// Where the answer could be resumed if this node fails. Protocols without resume tokens ignore it.
+  /// Sets the point from which the answer can be resumed if this node fails. Ignored by protocols without
+  /// resume tokens.
   virtual void sendResumePoint(const router::ResumePoint&) {}
   virtual void sendToken(const router::SendToken& token) = 0;
-  /// Called once; nothing follows it.
+  /// Called at most once; nothing is sent after it.
   virtual void sendFinalResponse(const router::FinalResponse& response) = 0;
 };
 
--- a/src/frontend/health_service.h
+++ b/src/frontend/health_service.h
@@ -1,4 +1,4 @@
-// grpc.health.v1: SERVING while the node has engines and does not drain.
+// The standard gRPC health service: SERVING while the node has engines and is not draining.
 #pragma once
 
 #include <memory>
@@ -10,14 +10,14 @@
 
 namespace gannetcourse::frontend {
 
-/// Answers Check and Watch. The server and the router must outlive its last call.
+/// Implements Check and Watch of grpc.health.v1.Health. The server and the router must outlive its last call.
 class HealthService {
  public:
   HealthService(grpc::Server& server, RouterHandle& router);
 
-  /// To be called whenever RouterHandle::isServing() may have changed: notifies the watchers of a change.
+  /// Must be called when RouterHandle::isServing() may have changed; notifies the watches if it has.
   void onServingMayHaveChanged();
-  /// Ends all watches: the node shuts down.
+  /// Ends all watches, for the node's shutdown.
   void endWatches();
 
  private:
--- a/src/frontend/request_validator.cpp
+++ b/src/frontend/request_validator.cpp
@@ -12,7 +12,7 @@
 namespace gannetcourse::frontend {
 namespace {
 
-constexpr std::size_t kBytesPerToken = 4;  // a guess, for prompts that come without their count
+constexpr std::size_t kBytesPerToken = 4;  // estimate, for requests without prompt_tokens
 
 }  // namespace
 
--- a/src/frontend/request_validator.h
+++ b/src/frontend/request_validator.h
@@ -1,4 +1,4 @@
-// Checks Generate requests against the node's settings and turns them into the core's form.
+// Checks Generate requests against the node's settings and converts them to router::NewRequest.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
 
 namespace gannetcourse::frontend {
 
-/// The key of a session or prefix name, the same on all nodes; 0 for the empty name.
+/// Hashes the name of a session or prefix to its key, the same on all nodes; 0 for the empty name.
 std::uint64_t hashKey(const std::string& name);
 
-/// An INVALID_ARGUMENT status. Its message begins with the field that is wrong.
+/// Returns an INVALID_ARGUMENT status. The message must begin with the name of the invalid field.
 grpc::Status invalidArgument(std::string message);
 
-/// Checks one message. Refers to its arguments, which must outlive it.
+/// Checks one message. Keeps references to its arguments, which must outlive it.
 class RequestValidator {
  public:
   RequestValidator(const config::NodeSettings& settings, const resume::Sealer& sealer,
                    const v1::GenerateRequest& message)
       : settings_(settings), sealer_(sealer), message_(message) {}
 
-  /// Fills in the request, but for its key. Otherwise returns the status that tells the client what is wrong.
+  /// Fills in `request`, except its key. Returns the error status for the client if the message is invalid.
   std::optional<grpc::Status> validate(Duration timeUntilDeadline, router::NewRequest& request) const;
 
  private:
--- a/src/frontend/resume_point.h
+++ b/src/frontend/resume_point.h
@@ -1,4 +1,4 @@
-// What a resume token says of its request.
+// The fields of a resume token that identify its request.
 #pragma once
 
 #include "gannetcourse/v1/chat.pb.h"
@@ -6,7 +6,7 @@
 
 namespace gannetcourse::frontend {
 
-/// The part of a resume point that must be the same when the answer is resumed.
+/// Returns a resume point with only the fields that must be equal when the answer is resumed.
 v1::ResumePoint makeResumePoint(const v1::GenerateRequest& request);
 
 /// Whether two resume points belong to the same request.
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -7,8 +7,8 @@
 
 namespace gannetcourse::grpc {
 
-Channel::Channel(net::Loop& loop, net::Endpoint to, ChannelOptions options)
-    : loop_(loop), endpoint_(std::move(to)), options_(std::move(options)) {}
+Channel::Channel(net::Loop& loop, net::Endpoint server, ChannelOptions options)
+    : loop_(loop), endpoint_(std::move(server)), options_(std::move(options)) {}
 
 Channel::~Channel() {
   *alive_ = false;
@@ -25,7 +25,7 @@
 
 void Channel::closeAll() {
   failQueued("channel closed");
-  // By index: ends that are notified here may open further connections.
+  // Iterates by index: fail() calls onEnd handlers, and these may open further connections.
   for (std::size_t i = 0; i < connections_.size(); ++i) {
     if (!connections_[i]->ended) connections_[i]->session.fail("channel closed");
   }
@@ -70,13 +70,13 @@
   if (!connecting && connections_.size() < options_.maxConnections) openConnection();
 }
 
-// Deferred: the call's handlers may not be set yet.
+// Deferred because the caller may not have set the call's handlers yet.
 void Channel::failLater(const std::shared_ptr<ClientCall>& call, const std::string& reason) {
   loop_.defer(
       [call, reason] { call->end(CallEnd::local(CallEnd::Kind::kNotSent, Code::kUnavailable, reason)); });
 }
 
-// False where the connection accepts no more streams.
+// Returns false if the connection accepts no more streams.
 bool Channel::startOn(ChannelConnection& connection, const std::shared_ptr<ClientCall>& call) {
   if (call->over_) return true;
   const http2::StreamId stream = connection.session.request(call->requestHeaders_, call->body_);
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -20,41 +20,42 @@
 /// Limits and timing of a Channel.
 struct ChannelOptions {
   http2::Limits http2;
-  std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Of a response's message.
-  std::size_t maxQueued = 10000;                  ///< Calls that may wait for a stream; more fail at once.
-  std::size_t maxConnections = 4;  ///< A further one is opened when the others accept no more streams.
+  std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Largest accepted response message.
+  std::size_t maxQueued = 10000;                  ///< Limit of calls waiting for a stream; more fail.
+  std::size_t maxConnections = 4;  ///< Another one is opened when the others accept no more streams.
   Duration connectTimeout{0.25};
-  Duration initialBackoff{0.05};  ///< After a failed connect; doubles up to maxBackoff. Calls fail meanwhile.
+  /// Delay after a failed connect, doubled at each further failure up to maxBackoff. Calls fail meanwhile.
+  Duration initialBackoff{0.05};
   Duration maxBackoff{1};
-  Duration keepaliveInterval{5};  ///< Interval of PINGs on a connection with calls in flight; 0 = never.
-  Duration keepaliveTimeout{2};   ///< Without an acknowledgement the connection counts as broken.
+  Duration keepaliveInterval{5};  ///< Interval of PINGs on connections with calls in flight; 0 = none.
+  Duration keepaliveTimeout{2};   ///< The connection fails if a PING is not acknowledged within it.
   std::string userAgent = "gannetcourse";
 };
 
-/// Calls to one server. For its loop's thread only.
+/// Starts calls to one server and owns the connections to it. Use only on the loop's thread.
 class Channel {
  public:
-  Channel(net::Loop& loop, net::Endpoint to, ChannelOptions options = {});
-  /// Calls in flight end without onEnd.
+  Channel(net::Loop& loop, net::Endpoint server, ChannelOptions options = {});
+  /// Ends the calls in flight without calling their onEnd.
   ~Channel();
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  /// Starts a call. Its handlers are to be set before the loop's next task. `timeout` is only sent to the
-  /// server: the caller enforces it.
+  /// Starts a call. The caller must set its handlers before it returns to the loop. `timeout` is only sent to
+  /// the server; the caller has to enforce it.
   std::shared_ptr<ClientCall> start(const std::string& method, std::string_view message,
                                     std::optional<Duration> timeout = {},
                                     const http2::Headers& metadata = {});
 
   const net::Endpoint& endpoint() const { return endpoint_; }
   std::size_t connectionCount() const { return connections_.size(); }
-  /// Closes connections without calls.
+  /// Closes the connections that have no calls.
   void closeIdle();
-  /// Closes all connections; the calls' onEnd is called.
+  /// Closes all connections and ends all calls, calling their onEnd.
   void closeAll();
-  /// The server shuts down gracefully: it accepts no new calls.
+  /// Called when the server shuts down gracefully (GOAWAY) and accepts no new calls.
   std::function<void()> onGoaway;
-  /// For audits: a frame arrived for a stream that had ended.
+  /// Called for a frame on a stream that has already ended without an error; used by audits.
   std::function<void(http2::StreamId)> onStrayFrame;
 
  private:
@@ -81,9 +82,9 @@
   std::uint64_t lastConnectionId_ = 0;
   std::deque<std::shared_ptr<ClientCall>> queued_;
   Duration backoff_{0};
-  Instant retryAt_{};  // no connect before
+  Instant retryAt_{};  // no connection attempt before this time
   net::TimerId keepaliveTimer_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; for deferred tasks
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed, for deferred tasks
 };
 
 }  // namespace gannetcourse::grpc
--- a/src/grpc/channel_connection.h
+++ b/src/grpc/channel_connection.h
@@ -13,8 +13,8 @@
 
 namespace gannetcourse::grpc {
 
-/// Passes the session's events to its calls and its channel. Owned by the channel, which destroys it from a
-/// deferred task once it has closed.
+/// Dispatches the session's events to its calls and its channel. Owned by the channel, which destroys it in a
+/// deferred task after it has closed.
 struct ChannelConnection final : http2::SessionOwner {
   ChannelConnection(Channel& owner, std::uint64_t connectionId, net::Loop& loop, const http2::Limits& limits)
       : channel(owner), id(connectionId), session(loop, http2::Session::Side::kClient, *this, limits) {}
@@ -35,8 +35,8 @@
   const std::uint64_t id;  // unique within the channel
   http2::Session session;
   std::unordered_map<http2::StreamId, std::shared_ptr<ClientCall>> calls;
-  bool ready = false;  // established, and not closed
-  bool ended = false;
+  bool ready = false;  // established and not closed
+  bool ended = false;  // closed, or the connection attempt has failed
   std::uint64_t pingsSent = 0;
   std::uint64_t pingsAcknowledged = 0;
 
--- a/src/grpc/client_call.cpp
+++ b/src/grpc/client_call.cpp
@@ -13,7 +13,7 @@
   return httpStatus == "429" || httpStatus == "502" || httpStatus == "503" || httpStatus == "504";
 }
 
-// The end that the response's headers and trailers state. Without a grpc-status the HTTP status decides.
+// Reads the status from the response's headers or trailers; without a grpc-status, from the HTTP status.
 CallEnd endFromHeaders(const http2::Headers& response, const http2::Headers& trailers) {
   const http2::Headers& last = trailers.empty() ? response : trailers;
   const std::string* code = http2::find(last, "grpc-status");
@@ -66,8 +66,9 @@
   end(endFromHeaders(responseHeaders_, trailers_));
 }
 
-// Returns to the stream's window what was received, except for what a paused call has not passed on. While
-// the call runs an incomplete message is returned too, or the window could close before its rest arrives.
+// Returns received bytes to the stream's flow-control window. A paused call retains the bytes that it has not
+// delivered. Otherwise even those of an incomplete message are returned, because the window could be used up
+// before the rest of the message arrives.
 void ClientCall::updateWindow() {
   if (connection_ == nullptr) return;
   const std::size_t buffered = std::min(reader_->bufferedBytes(), unacknowledgedBytes_);
@@ -98,7 +99,7 @@
 void ClientCall::end(const CallEnd& end) {
   if (std::exchange(over_, true)) return;
   const auto keepAlive = shared_from_this();
-  if (!delivering_) onMessage = nullptr;  // else it may be running
+  if (!delivering_) onMessage = nullptr;  // while delivering, it may be on the call stack
   if (const auto notify = std::exchange(onEnd, nullptr)) notify(end);
 }
 
--- a/src/grpc/client_call.h
+++ b/src/grpc/client_call.h
@@ -1,4 +1,4 @@
-// One gRPC call of a client.
+// A gRPC call, client side.
 #pragma once
 
 #include <cstdint>
@@ -17,37 +17,37 @@
 /// How a call ended.
 struct CallEnd {
   enum class Kind {
-    kStatus,          ///< The server's own status, in `status`.
-    kNotSent,         ///< No connection: the server has seen nothing of it.
-    kRefusedStream,   ///< The server has not processed it (REFUSED_STREAM, or past its GOAWAY).
-    kConnectionLost,  ///< The peer ended the connection; it may have run.
-    kAbandoned,       ///< This side gave the connection up; it may still run.
-    kReset,           ///< The stream was reset; it may have run.
-    kMalformed,       ///< The response violates gRPC's protocol; it may have run.
+    kStatus,          ///< The server responded with `status`.
+    kNotSent,         ///< There was no connection; the server received nothing.
+    kRefusedStream,   ///< The server did not process the call (REFUSED_STREAM, or above its GOAWAY's limit).
+    kConnectionLost,  ///< The peer closed the connection; the call may have run.
+    kAbandoned,       ///< This side closed the connection; the call may still be running.
+    kReset,           ///< The stream was reset; the call may have run.
+    kMalformed,       ///< The response violates the gRPC protocol; the call may have run.
     kCancelled        ///< Cancelled by this side.
   };
   Kind kind = Kind::kStatus;
   Status status;
   http2::Headers trailers;
 
-  /// An end that has a status of this side's making and no trailers.
+  /// An end with a status that this side sets, and no trailers.
   static CallEnd local(Kind kind, Code code, std::string message);
 };
 
 struct ChannelConnection;
 
-/// A call in progress, made by Channel::start(). Shared by its caller and the channel.
+/// A call started by Channel::start(). Shared by its caller and the channel. Use only on the loop's thread.
 class ClientCall : public std::enable_shared_from_this<ClientCall> {
  public:
-  /// Called for each message; not after onEnd.
+  /// Called for each message of the response; not after onEnd.
   std::function<void(std::string_view message)> onMessage;
   /// Called exactly once, also after cancel().
   std::function<void(const CallEnd& end)> onEnd;
 
-  /// Resets the stream: the RST_STREAM precedes everything submitted later. onEnd is called before it
+  /// Resets the stream; the RST_STREAM is sent before anything that is submitted later. Calls onEnd before it
   /// returns.
   void cancel();
-  /// While paused no message is passed on, and the server can send no more than the stream's window.
+  /// While paused no message is delivered, and the server can send at most the stream's window.
   void pause(bool paused);
   bool isOver() const { return over_; }
 
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -13,7 +13,8 @@
     "ABORTED",   "OUT_OF_RANGE",   "UNIMPLEMENTED",     "INTERNAL",           "UNAVAILABLE",
     "DATA_LOSS", "UNAUTHENTICATED"};
 
-constexpr std::size_t kMaxReturnedBytes = 64 * 1024;  // kept at the front of the buffer before it is moved up
+// Returned bytes that may stay at the front of the buffer before the rest is moved there.
+constexpr std::size_t kMaxReturnedBytes = 64 * 1024;
 
 int hexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
@@ -22,11 +23,11 @@
   return -1;
 }
 
-struct Unit {
+struct TimeoutUnit {
   char letter;
   double seconds;
 };
-constexpr std::array<Unit, 6> kUnits = {
+constexpr std::array<TimeoutUnit, 6> kTimeoutUnits = {
     {{'n', 1e-9}, {'u', 1e-6}, {'m', 1e-3}, {'S', 1}, {'M', 60}, {'H', 3600}}};
 
 }  // namespace
@@ -76,14 +77,14 @@
   const char* const end = text.data() + text.size() - 1;
   const auto [stop, fault] = std::from_chars(text.data(), end, value);
   if (fault != std::errc() || stop != end) return std::nullopt;
-  for (const Unit& unit : kUnits) {
+  for (const TimeoutUnit& unit : kTimeoutUnits) {
     if (unit.letter == text.back()) return Duration(value * unit.seconds);
   }
   return std::nullopt;
 }
 
 std::string formatTimeout(Duration timeout) {
-  for (const Unit& unit : kUnits) {
+  for (const TimeoutUnit& unit : kTimeoutUnits) {
     const double count = std::floor(timeout.count() / unit.seconds);
     if (count < 1e8) return std::to_string(static_cast<long>(std::max(0.0, count))) + unit.letter;
   }
--- a/src/grpc/protocol.h
+++ b/src/grpc/protocol.h
@@ -35,10 +35,10 @@
 };
 /// The code's standard name: "DEADLINE_EXCEEDED".
 const char* nameOf(Code code);
-/// The code of a number from the wire; kUnknown where that is not a status.
+/// Parses the number of a grpc-status header; kUnknown if it is no status code.
 Code codeFromText(std::string_view number);
 
-/// How a call ended, as its server states it.
+/// The result of a call: code, and message before percent-encoding.
 struct Status {
   Code code = Code::kOk;
   std::string message;
@@ -49,31 +49,31 @@
 /// Decodes a grpc-message. Broken escapes are passed through unchanged.
 std::string percentDecode(std::string_view text);
 
-/// Parses a grpc-timeout: up to 8 digits and one of H M S m u n. Nothing where malformed.
+/// Parses a grpc-timeout: up to 8 digits and one of H M S m u n. Returns nothing if malformed.
 std::optional<Duration> parseTimeout(std::string_view text);
-/// Formats a grpc-timeout. Rounds down, so that a server never has longer than its client.
+/// Formats a grpc-timeout. Rounds down, so that the server's deadline is never later than the client's.
 std::string formatTimeout(Duration timeout);
 
-/// Bytes ahead of a message: a flag (not compressed), and the message's length, big-endian.
+/// Bytes before each message: a flag (0 = not compressed) and the message's length (4 bytes, big-endian).
 inline constexpr std::size_t kPrefixBytes = 5;
 using FramePrefix = std::array<char, kPrefixBytes>;
 FramePrefix framePrefix(std::size_t size);
-/// A message with its prefix.
+/// Returns the message with its prefix.
 std::string frame(std::string_view message);
 
-/// Splits a byte stream into messages.
+/// Splits a byte stream into messages. Owns the bytes that were added.
 class MessageReader {
  public:
-  /// Why the byte stream cannot be read any further.
+  /// Why no further message can be read from the byte stream.
   enum class Fault { kNone, kTooLarge, kCompressed, kBadFlag };
   explicit MessageReader(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
 
   void add(std::string_view bytes) { buffer_.append(bytes); }
-  /// The next complete message, if there is one; valid until the next call. After a fault there is none.
+  /// Returns the next complete message, if any; valid until the next add() or next(). Nothing after a fault.
   std::optional<std::string_view> next();
   Fault fault() const { return fault_; }
   bool isInsideMessage() const { return offset_ < buffer_.size(); }
-  /// Bytes that next() has not returned.
+  /// Bytes that next() has not returned yet.
   std::size_t bufferedBytes() const { return buffer_.size() - offset_; }
 
  private:
@@ -85,7 +85,7 @@
   Fault fault_ = Fault::kNone;
 };
 
-/// The status that a stream reset with this HTTP/2 error code stands for.
+/// The status code for a stream that was reset with this HTTP/2 error code.
 Code codeFromHttp2Error(std::uint32_t http2Code);
 
 }  // namespace gannetcourse::grpc
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -6,8 +6,8 @@
 
 namespace gannetcourse::grpc {
 
-Server::Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options)
-    : loop_(loop), options_(options), listener_(loop, on, [this](int fd) { accept(fd); }) {}
+Server::Server(net::Loop& loop, const net::Endpoint& address, const ServerOptions& options)
+    : loop_(loop), options_(options), listener_(loop, address, [this](int fd) { accept(fd); }) {}
 
 Server::~Server() {
   *alive_ = false;
@@ -15,14 +15,14 @@
 }
 
 void Server::accept(int fd) {
-  auto connection = std::make_unique<ServerConnection>(*this, nextConnection_, fd);
-  ++nextConnection_;
+  auto connection = std::make_unique<ServerConnection>(*this, nextConnectionId_, fd);
+  ++nextConnectionId_;
   ServerConnection* const key = connection.get();
   connections_.emplace(key, std::move(connection));
   if (connections_.size() >= options_.maxConnections) listener_.pause(true);
 }
 
-// Deferred: the connection may be inside one of its own functions.
+// Deferred because a function of the connection may be on the call stack.
 void Server::scheduleRemoval(ServerConnection* connection) {
   if (onConnectionClosed) onConnectionClosed(*connection);
   loop_.defer([this, connection, alive = alive_] {
@@ -41,14 +41,14 @@
 }
 
 std::size_t Server::callCount() const {
-  std::size_t open = 0;
-  for (const auto& [key, connection] : connections_) open += connection->callCount();
-  return open;
+  std::size_t count = 0;
+  for (const auto& [key, connection] : connections_) count += connection->callCount();
+  return count;
 }
 
-void Server::suspend(bool frozen, const std::function<bool(const std::string&)>& who) {
+void Server::suspend(bool suspended, const std::function<bool(const std::string&)>& appliesTo) {
   for (auto& [key, connection] : connections_) {
-    if (!who || who(connection->peer())) connection->suspend(frozen);
+    if (!appliesTo || appliesTo(connection->peer())) connection->suspend(suspended);
   }
 }
 
@@ -56,7 +56,7 @@
   for (auto& [key, connection] : connections_) connection->session_.connection().readNow();
 }
 
-void Server::rejectConnections(bool refused) { listener_.rejectConnections(refused); }
+void Server::rejectConnections(bool rejected) { listener_.rejectConnections(rejected); }
 
 void Server::abortAll() {
   for (auto& [key, connection] : connections_) {
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -1,5 +1,5 @@
-// The server side of gRPC: one request message in, any number of messages and one status out (unary and
-// server-streaming methods). Protocol errors of the client are answered here and reach no handler.
+// The server side of gRPC, for unary and server-streaming methods: one request message, any number of
+// response messages and one status. Responds to clients' protocol errors itself, without calling a handler.
 #pragma once
 
 #include <functional>
@@ -18,44 +18,46 @@
 /// Limits of a Server.
 struct ServerOptions {
   http2::Limits http2;
-  std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Of a request.
-  std::size_t maxConnections = 20000;             ///< More wait in the kernel's queue.
+  std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Largest accepted request message.
+  std::size_t maxConnections = 20000;             ///< Further ones wait in the kernel's accept queue.
 };
 
-/// Handles a complete request; answers through `call`, at once or later.
+/// Handles a complete request; responds through `call`, at once or later.
 using Handler = std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)>;
 
-/// Listens, owns the connections and knows the methods. For its loop's thread only.
+/// Owns the listener and the connections; passes requests to the handlers of their methods. Use only on the
+/// loop's thread.
 class Server {
  public:
-  /// Listens at once. Throws std::system_error where the address cannot be bound.
-  Server(net::Loop& loop, const net::Endpoint& on, const ServerOptions& options = {});
+  /// Starts to listen. Throws std::system_error if the address cannot be bound.
+  Server(net::Loop& loop, const net::Endpoint& address, const ServerOptions& options = {});
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
   std::uint16_t port() const { return listener_.port(); }
-  /// `method` as on the wire: "/package.Service/Method".
+  /// Sets the handler of a method. `method` is its path: "/package.Service/Method".
   void handle(const std::string& method, Handler handler) { handlers_[method] = std::move(handler); }
 
-  /// Graceful shutdown: no new connections, GOAWAY on the existing ones; calls in progress go on.
+  /// Graceful shutdown: accepts no new connections and sends GOAWAY; calls in progress continue.
   void drain();
   std::size_t connectionCount() const { return connections_.size(); }
   std::size_t callCount() const;  ///< In progress.
 
-  // ---- For fake engines: failures of a machine ----
-  /// Behaves like a machine that fell silent, towards all peers or those for which `who` is true.
-  void suspend(bool frozen, const std::function<bool(const std::string& peer)>& who = {});
-  /// Reads what has arrived so far on every connection, suspended ones too.
+  // ---- Fault injection for fake engines ----
+  /// Suspends or resumes the connections of all peers, or of those for which `appliesTo` is true. A suspended
+  /// connection neither sends nor handles requests, like one to a machine that does not respond.
+  void suspend(bool suspended, const std::function<bool(const std::string& peer)>& appliesTo = {});
+  /// Reads the bytes that have arrived so far on all connections, including suspended ones.
   void readAllNow();
-  /// Closes every connection with a RST.
+  /// Closes all connections with a TCP RST.
   void abortAll();
-  /// Behaves like a machine on which the process does not run: no new connections; the port stays ours.
-  void rejectConnections(bool refused);
-  /// Called at a connection's first request: whether the connection is suspended from then on.
+  /// Rejects new connections, like a machine on which the process does not run, but keeps the port.
+  void rejectConnections(bool rejected);
+  /// Called at a connection's first request; returns whether to suspend the connection from then on.
   std::function<bool(const std::string& peer)> isSuspendedFor;
   std::function<void(const ServerConnection&)> onConnectionClosed;
-  /// A complete request has arrived on a suspended connection; it is handled once that is resumed.
+  /// Called for a complete request on a suspended connection; its handler runs when the connection resumes.
   std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)>
       onRequestWhileSuspended;
 
@@ -68,10 +70,10 @@
   ServerOptions options_;
   net::Listener listener_;
   bool draining_ = false;
-  std::uint64_t nextConnection_ = 1;
+  std::uint64_t nextConnectionId_ = 1;
   std::unordered_map<std::string, Handler> handlers_;
   std::unordered_map<ServerConnection*, std::unique_ptr<ServerConnection>> connections_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed; for deferred tasks
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed, for deferred tasks
 };
 
 }  // namespace gannetcourse::grpc
--- a/src/grpc/server_call.cpp
+++ b/src/grpc/server_call.cpp
@@ -9,10 +9,10 @@
 
 const http2::Headers kResponseHeaders = {{":status", "200"}, {"content-type", "application/grpc+proto"}};
 
-http2::Headers statusTrailers(const Status& status, const http2::Headers& more) {
+http2::Headers statusTrailers(const Status& status, const http2::Headers& additional) {
   http2::Headers trailers = {{"grpc-status", std::to_string(static_cast<int>(status.code))}};
   if (!status.message.empty()) trailers.push_back({"grpc-message", percentEncode(status.message)});
-  trailers.insert(trailers.end(), more.begin(), more.end());
+  trailers.insert(trailers.end(), additional.begin(), additional.end());
   return trailers;
 }
 
--- a/src/grpc/server_call.h
+++ b/src/grpc/server_call.h
@@ -1,4 +1,4 @@
-// One gRPC call at a server.
+// A gRPC call, server side.
 #pragma once
 
 #include <cstdint>
@@ -15,32 +15,33 @@
 
 class ServerConnection;
 
-/// A call in progress. Its handler may keep it; once it has ended its functions do nothing.
+/// A call in progress. Its handler may keep a reference; after the call has ended its functions do nothing.
 class ServerCall : public std::enable_shared_from_this<ServerCall> {
  public:
   const std::string& method() const { return method_; }  ///< "/package.Service/Method".
   const http2::Headers& metadata() const { return metadata_; }
-  std::optional<Duration> timeout() const { return timeout_; }  ///< The client's, counted from receivedAt().
+  std::optional<Duration> timeout() const { return timeout_; }  ///< The grpc-timeout, from receivedAt() on.
   Instant receivedAt() const { return receivedAt_; }            ///< When the request's headers arrived.
   const std::string& peer() const;                              ///< The connection's user-agent.
   std::uint64_t connectionId() const;                           ///< 0 once the stream has closed.
-  Instant lastReceivedAt() const;  ///< When anything last arrived on its connection.
-  bool isSuspended() const;        ///< Suspended by Server::freeze(): what is sent waits here.
+  Instant lastReceivedAt() const;  ///< When its connection last received anything.
+  bool isSuspended() const;        ///< By Server::suspend(): output is kept here until it resumes.
   bool isOpen() const { return connection_ != nullptr && !finished_; }
 
-  /// Sends a message. Returns the bytes that the client has not taken yet, this message's included.
+  /// Sends a message. Returns pendingBytes(), including this message.
   std::size_t send(std::string_view message);
+  /// Ends the call with a status.
   void finish(const Status& status, const http2::Headers& trailers = {});
   /// Ends the call without a status.
   void reset(std::uint32_t http2Code);
-  /// Discards output that the client does not take, also after finish().
+  /// Resets the stream and discards its pending output, also after finish().
   void abandon();
-  /// Output that the client has not taken yet, bytes.
+  /// Bytes of output not passed to the connection yet; they accumulate while the client does not read.
   std::size_t pendingBytes() const;
 
-  /// Called once if the client cancels or the connection is lost before the status has been sent.
+  /// Called once if the client cancels or the connection is lost before finish() is called.
   std::function<void()> onClientDisconnected;
-  /// Called whenever pendingBytes() has fallen to 0.
+  /// Called whenever pendingBytes() becomes 0.
   std::function<void()> onDrained;
   /// Called once when the stream has ended in both directions, for whatever reason.
   std::function<void()> onClosed;
--- a/src/grpc/server_connection.cpp
+++ b/src/grpc/server_connection.cpp
@@ -16,7 +16,7 @@
   return next == '+' || next == ';';
 }
 
-// The HTTP status for a request that is not gRPC; null where it is.
+// Returns the HTTP status to respond to a request that is not gRPC; null if it is gRPC.
 const char* httpErrorFor(const http2::Headers& headers) {
   const std::string* method = http2::find(headers, ":method");
   if (method == nullptr || *method != "POST") return kMethodNotAllowed;
@@ -48,7 +48,7 @@
 
 // ---- Requests ----
 void ServerConnection::onHeaders(http2::StreamId stream, http2::Headers headers, bool overflow) {
-  if (find(stream) != nullptr) return;  // a request's trailers: nothing in them is used
+  if (find(stream) != nullptr) return;  // request trailers are ignored
   const char* const httpError = overflow ? nullptr : httpErrorFor(headers);
   if (httpError != nullptr) return respondHttpError(stream, httpError);
   const std::shared_ptr<ServerCall> call = addCall(stream, http2::find(headers, ":path"));
@@ -158,7 +158,7 @@
 void ServerConnection::onDrained(http2::StreamId stream) {
   ServerCall* const call = find(stream);
   if (call == nullptr || !call->onDrained) return;
-  // Deferred: the handler will want to send, which the session does not allow inside its callbacks.
+  // Deferred because the handler may send, which the session does not allow inside its callbacks.
   server_.loop_.defer([call = call->shared_from_this()] {
     if (call->isOpen() && call->onDrained) call->onDrained();
   });
@@ -169,13 +169,13 @@
   if (found == calls_.end()) return;
   const std::shared_ptr<ServerCall> call = found->second;
   calls_.erase(found);
-  const bool cutShort = !call->finished_;
+  const bool wasUnfinished = !call->finished_;
   call->finished_ = true;
   call->connection_ = nullptr;
   call->onDrained = nullptr;
   const auto onCancelled = std::exchange(call->onClientDisconnected, nullptr);
   const auto onClosed = std::exchange(call->onClosed, nullptr);
-  if (cutShort && onCancelled) onCancelled();
+  if (wasUnfinished && onCancelled) onCancelled();
   if (onClosed) onClosed();
 }
 
--- a/src/grpc/server_connection.h
+++ b/src/grpc/server_connection.h
@@ -16,7 +16,7 @@
 
 namespace gannetcourse::grpc {
 
-/// Owned by its Server, which destroys it from a deferred task once it has closed.
+/// Owns its session and calls. Owned by its Server, which destroys it in a deferred task after it has closed.
 class ServerConnection final : private http2::SessionOwner {
  public:
   /// Takes over the accepted socket.
@@ -40,7 +40,7 @@
   ServerCall* find(http2::StreamId stream);
   std::shared_ptr<ServerCall> addCall(http2::StreamId stream, const std::string* method);
   void identifyPeer(const http2::Headers& headers);
-  // What is wrong with a request's headers or messages; nothing where they are valid.
+  // Return the error status for invalid headers or messages of a request; nothing if they are valid.
   std::optional<Status> checkHeaders(ServerCall& call, const http2::Headers& headers);
   std::optional<Status> checkMessages(const ServerCall& call) const;
   void respondHttpError(http2::StreamId stream, const char* status);
--- a/src/node/core_driver.cpp
+++ b/src/node/core_driver.cpp
@@ -23,7 +23,7 @@
   stopped_ = true;
   loop_.cancelTimer(std::exchange(timer_, 0));
   hooks_ = {};
-  clients_.clear();  // the frontends that they belong to end next
+  clients_.clear();  // the frontends that they refer to are destroyed next
 }
 
 // ---- From clients ----
@@ -83,7 +83,7 @@
 }
 
 // ---- Commands ----
-// The stream is shared for as long as it is used: a call on it may end it.
+// Returns shared ownership, because a call on the stream may remove it from clients_.
 std::shared_ptr<frontend::ClientStream> CoreDriver::findClient(router::RequestKey request) const {
   const auto it = clients_.find(request);
   return it == clients_.end() ? nullptr : it->second;
@@ -111,7 +111,7 @@
                  [this](const router::Subscribe&) {
                    if (hooks_.subscribe) hooks_.subscribe();
                  },
-                 [](const router::Fetch&) {},  // a subscription begins with the whole list
+                 [](const router::Fetch&) {},  // not needed: a subscription starts with the whole list
                  [this](const router::Record& c) {
                    if (hooks_.onRecord) hooks_.onRecord(c);
                  },
@@ -119,7 +119,7 @@
              command);
 }
 
-// A command may call back into the driver; the outermost call carries out all commands, in order.
+// A command may call back into the driver; the outermost call executes all commands, in order.
 void CoreDriver::runCommands() {
   if (runningCommands_) return;
   runningCommands_ = true;
@@ -140,7 +140,7 @@
     timer_ = 0;
     core_.advance(loop_.now());
     runCommands();
-    if (hooks_.onTimerTurn) hooks_.onTimerTurn();
+    if (hooks_.onTimerHandled) hooks_.onTimerHandled();
   });
 }
 
--- a/src/node/core_driver.h
+++ b/src/node/core_driver.h
@@ -1,5 +1,5 @@
-// Runs a core on an event loop: feeds it, carries its commands out at clients and engines, keeps its timer.
-// Every kind of node has one; protocols stay with the components on both sides of it.
+// Runs a core on an event loop: passes events to it, executes its commands and sets its timer. Used by every
+// kind of node; independent of the protocols, which its ClientStreams and its EngineTransport implement.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 
 namespace gannetcourse::node {
 
-/// Owns the core and the clients' streams of its open requests. All calls are made on the loop's thread.
+/// Owns the core and the client streams of its open requests. All calls are made on the loop's thread.
 class CoreDriver : public engines::EngineEventHandler {
  public:
-  /// Any of them may be empty.
+  /// Called on the loop's thread. Any of them may be empty.
   struct Hooks {
-    std::function<void(const router::Record&)> onRecord;  ///< Each decision; must not block.
-    std::function<void()> subscribe;                      ///< The core wants the engine list.
+    std::function<void(const router::Record&)> onRecord;  ///< For each decision; must not block.
+    std::function<void()> subscribe;                      ///< Opens a subscription to the engine list.
     std::function<void(EngineId)> onEngineGoAway;         ///< An engine has announced its shutdown.
-    std::function<void()> onTimerTurn;                    ///< After the core has done what was due.
+    std::function<void()> onTimerHandled;                 ///< After the commands of a timer are executed.
   };
 
   CoreDriver(net::Loop& loop, const Settings& settings, router::Options options, Hooks hooks);
@@ -30,14 +30,14 @@
   CoreDriver(const CoreDriver&) = delete;
   CoreDriver& operator=(const CoreDriver&) = delete;
 
-  /// To be called before anything else; the transport must outlive the last call before stop().
+  /// Must be called first. The transport must outlive the last call before stop().
   void attach(engines::EngineTransport& engines) { engines_ = &engines; }
-  /// From now on no input reaches the core and no command is carried out.
+  /// After this no event is passed to the core and no command is executed.
   void stop();
 
   const router::Core& core() const { return core_; }
 
-  /// Gives the core an input, `input(core, now)`, and carries out the commands that answer it.
+  /// Passes an event to the core by calling `input(core, now)`, then executes the resulting commands.
   template <class Input>
   void step(const Input& input) {
     if (stopped_) return;
@@ -52,7 +52,7 @@
   void onClientDisconnected(router::RequestKey request);
   void pauseRequest(router::RequestKey request, bool paused);
 
-  /// Carries one command out. Virtual for hosts that put faults in its way.
+  /// Executes one command. Virtual so that an embedding program can inject faults.
   virtual void execute(const router::Command& command);
 
   // ---- engines::EngineEventHandler ----
@@ -77,7 +77,7 @@
   router::Core core_;
   engines::EngineTransport* engines_ = nullptr;
   std::unordered_map<router::RequestKey, std::shared_ptr<frontend::ClientStream>> clients_;
-  std::vector<router::Command> commands_;  // those being carried out
+  std::vector<router::Command> commands_;  // those being executed
   router::RequestKey lastRequestKey_ = 0;
   net::TimerId timer_ = 0;
   Instant timerDueAt_{};
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -25,12 +25,12 @@
 
 grpc::ChannelOptions channelOptions(const config::NodeSettings& settings) {
   grpc::ChannelOptions options;
-  // How far an engine may be ahead of a client whose buffer is full.
+  // Limits how much an engine can send while the client's buffer is full.
   options.http2.streamWindow =
       static_cast<std::uint32_t>(std::clamp(settings.streamBufferBytes, kMinStreamWindow, kMaxStreamWindow));
   options.maxConnections = settings.maxConnectionsPerEngine;
   options.connectTimeout = settings.connectTimeout;
-  // Engines end the streams of a node that they have not heard of for a lease.
+  // Engines end the streams of a node from which they have received nothing for the duration of the lease.
   options.keepaliveInterval = std::min(settings.keepaliveInterval, settings.recovery.engineLease / 4);
   options.keepaliveTimeout = settings.keepaliveTimeout;
   options.userAgent = "gannetcourse node/" + settings.name + " zone/" + settings.zone;
@@ -90,7 +90,7 @@
 }
 
 Node::~Node() {
-  driver_->stop();  // calls that end with the server reach nobody any more
+  driver_->stop();  // calls that end while the members are destroyed are not reported
   hooks_ = {};
 }
 
@@ -103,7 +103,7 @@
   hooks.onEngineGoAway = [this](EngineId engine) {
     log("engines", "info", "engine " + std::to_string(engine.value) + " announces its shutdown (GOAWAY)");
   };
-  hooks.onTimerTurn = [this] { completeDrainIfIdle(); };
+  hooks.onTimerHandled = [this] { completeDrainIfIdle(); };
   return hooks;
 }
 
@@ -114,7 +114,7 @@
       channelOptions(settings_), [this](const discovery::EngineList& list) { onEngineList(list); });
 }
 
-// The policy's first list counts as a cached one in any case: it may be out of date, or empty.
+// The initial list is always marked as cached, because it may be out of date or empty.
 discovery::EngineList Node::loadInitialList() const {
   discovery::EngineList list =
       registry_ ? loadCachedList() : discovery::loadEngineListFile(settings_.engineListFile, resolver_);
@@ -128,14 +128,15 @@
   try {
     list.engines = discovery::loadEngineListFile(settings_.engineListCacheFile, resolver_).engines;
   } catch (const config::InvalidFile& invalid) {
-    log("discovery", "warn", std::string("no cached engine list: ") + invalid.what());
+    log("discovery", "warn", std::string("cannot read the cached engine list: ") + invalid.what());
   }
   return list;
 }
 
 void Node::onEngineList(const discovery::EngineList& list) {
   using Scope = EngineListUpdate::Scope;
-  if (list.scope == Scope::kFetchFailed) log("discovery", "warn", "the registry cannot be reached");
+  if (list.scope == Scope::kFetchFailed)
+    log("discovery", "warn", "registry watch ended or failed to open; the engine list is kept");
   engineList_.apply(list);
   transport_.updateEngines(list);
   driver_->step([&list](router::Core& core, Instant now) {
@@ -146,37 +147,37 @@
   health_.onServingMayHaveChanged();
   if (list.scope == Scope::kFetchFailed || list.scope == Scope::kCached) return;
   log("discovery", "info",
-      "list version " + std::to_string(list.version) + ": " + std::to_string(list.engines.size()) +
-          " entries, " + std::to_string(engineCount()) + " engines in all");
+      "engine list version " + std::to_string(list.version) + ": " + std::to_string(list.engines.size()) +
+          " entries, " + std::to_string(engineCount()) + " engines in total");
   cacheEngineList(list.version);
 }
 
 void Node::cacheEngineList(std::uint64_t version) {
   const std::uint64_t failures = engineListCache_.failures();
   if (failures > loggedCacheFailures_)
-    log("discovery", "warn", "the engine list could not be cached: " + settings_.engineListCacheFile);
+    log("discovery", "warn", "cannot write the cached engine list: " + settings_.engineListCacheFile);
   loggedCacheFailures_ = failures;
   engineListCache_.save(
       discovery::formatEngineList({EngineListUpdate::Scope::kSnapshot, version, engineList_.engines()}));
 }
 
 // ---- Reload ----
-// What may throw comes first: until the core is reconfigured nothing has changed.
+// Everything that may throw comes first, so that a failed reload changes nothing.
 void Node::reload(const config::NodeSettings& settings) {
   const std::string restartOnly = config::firstRestartOnlyDifference(settings_, settings);
   if (!restartOnly.empty()) throw RestartRequired(restartOnly);
-  config::NodeSettings fresh = config::mergeForReload(settings_, settings);
-  resume::Sealer sealer = loadSealer(fresh);
+  config::NodeSettings merged = config::mergeForReload(settings_, settings);
+  resume::Sealer sealer = loadSealer(merged);
   discovery::EntryResolver resolver = resolver_;
-  resolver.setZones(fresh.zones);
+  resolver.setZones(merged.zones);
   std::optional<discovery::EngineList> list;
-  if (!fresh.engineListFile.empty()) list = discovery::loadEngineListFile(fresh.engineListFile, resolver);
+  if (!merged.engineListFile.empty()) list = discovery::loadEngineListFile(merged.engineListFile, resolver);
   for (const std::string& difference : config::describeDifferences(settings_, settings))
     log("config", "info", difference);
-  driver_->step([&](router::Core& core, Instant now) { core.reconfigure(now, policySettings(fresh)); });
+  driver_->step([&](router::Core& core, Instant now) { core.reconfigure(now, policySettings(merged)); });
   sealer_ = std::move(sealer);
   resolver_ = std::move(resolver);
-  settings_ = std::move(fresh);
+  settings_ = std::move(merged);
   if (list) onEngineList(*list);
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,5 @@
-// A whole router on one event loop: frontends, core, engines' client and sources of the engine list. The
-// daemon runs one; an embedding program may run several, which share nothing.
+// A complete router on one event loop: frontends, core, client of the engines and sources of the engine list.
+// The daemon runs one; an embedding program may run several, which share nothing.
 #pragma once
 
 #include <functional>
@@ -20,33 +20,33 @@
 
 namespace gannetcourse::node {
 
-/// A reload that changes what only a restart can change.
+/// Thrown by Node::reload() for a changed setting that only a restart can apply.
 class RestartRequired : public std::invalid_argument {
  public:
   explicit RestartRequired(std::string setting);
-  /// The first such setting, as the log of a reload names it.
+  /// Name of the first such setting, as in the log of a reload.
   const std::string& setting() const { return setting_; }
 
  private:
   std::string setting_;
 };
 
-/// All calls are made on the loop's thread; the loop must outlive the node.
+/// Owns all components of a router. All calls are made on the loop's thread; the loop must outlive the node.
 class Node final : private frontend::RouterHandle {
  public:
   /// Any of them may be empty.
   struct Hooks {
-    std::function<void(const router::Record&)> onRecord;  ///< Each decision; must not block.
+    std::function<void(const router::Record&)> onRecord;  ///< For each decision; must not block.
     std::function<void(const std::string& package, const std::string& level, const std::string& text)> log;
   };
-  /// Makes the driver of the core.
+  /// Creates the driver of the core.
   using DriverFactory = std::function<std::unique_ptr<CoreDriver>(net::Loop&, const Settings&,
                                                                   router::Options, CoreDriver::Hooks)>;
 
-  /// Listens, reads its engine list and starts. `incarnation` tells apart the starts of one node: request
-  /// names carry it. Without a factory the driver is a plain CoreDriver.
-  /// Throws std::system_error where it cannot listen, config::InvalidFile where the engine list's file or the
-  /// key file cannot be used.
+  /// Listens, reads its engine list and starts. `incarnation` distinguishes the starts of one node and is
+  /// part of its request names. Without a factory the driver is a plain CoreDriver.
+  /// Throws std::system_error if it cannot listen, config::InvalidFile if the engine list file or the key
+  /// file is invalid.
   Node(net::Loop& loop, config::NodeSettings settings, const std::string& incarnation, Hooks hooks,
        const DriverFactory& makeDriver = nullptr);
   ~Node() override;
@@ -55,12 +55,12 @@
   const router::Core& core() const { return driver_->core(); }
   std::size_t engineCount() const { return engineList_.engines().size(); }
 
-  /// Puts new settings in service and reads the engine list's file and the key file again. Throws
-  /// config::InvalidFile or RestartRequired; then nothing has changed.
+  /// Applies new settings and reads the engine list file and the key file again. Throws config::InvalidFile
+  /// or RestartRequired; then nothing has changed.
   void reload(const config::NodeSettings& settings);
 
   /// Rejects new requests. Calls `onDrained` from the loop once every accepted request has its response and
-  /// every state and reservation is released.
+  /// all states and reservations are released.
   void drain(std::function<void()> onDrained);
 
   net::Loop& loop() override { return loop_; }
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -85,7 +85,7 @@
   node::CoreDriver::Hooks hooks;
   hooks.onRecord = record;
   if (!record) hooks.onRecord = [this](const router::Record& r) { logViolation(r); };
-  hooks.onTimerTurn = [this] { checkDrained(); };
+  hooks.onTimerHandled = [this] { checkDrained(); };
   return hooks;
 }
 
