--- a/src/grpc/server_call.h
+++ b/src/grpc/server_call.h
@@ -25,7 +25,7 @@
   const std::string& peer() const;                              ///< The connection's user-agent.
   std::uint64_t connectionId() const;                           ///< 0 once the stream has closed.
   Instant lastReceivedAt() const;  ///< When its connection last received anything.
-  bool isSuspended() const;        ///< By Server::suspend(): output is kept here until it resumes.
+  bool isSuspended() const;        ///< By Server::suspend(); output is queued meanwhile.
   bool isOpen() const { return connection_ != nullptr && !finished_; }
 
   /// Sends a message. Returns pendingBytes(), including this message.
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -1,4 +1,4 @@
-// A registry as the source of the engine list.
+// Tests of a node that receives its engine list from a registry.
 #include <gtest/gtest.h>
 
 #include "gannetcourse/v1/registry.pb.h"
@@ -7,7 +7,7 @@
 namespace gannetcourse::node {
 namespace {
 
-// A registry that begins each watch with `first`.
+// A registry that sends `first` as the first message of each watch.
 struct ScriptedRegistry {
   explicit ScriptedRegistry(net::Loop& loop, std::uint16_t port = 0) : server(loop, {"127.0.0.1", port}) {
     server.handle("/gannetcourse.v1.Registry/Watch", [this](const ServerCall& call, std::string_view) {
@@ -27,12 +27,13 @@
   }
   grpc::Server server;
   v1::EngineList first;
-  bool sendEmpty = false;  // also where `first` has no entries
+  bool sendEmpty = false;  // sends `first` even if it has no entries
   int watches = 0;
   ServerCall watch;
 };
 
-TEST_F(NodeTest, ARegistryThatIsDownAtStartIsReachedLater) {
+// Guards against a node that subscribes only once, at its start.
+TEST_F(NodeTest, ConnectsToRegistryThatStartsAfterNode) {
   std::uint16_t port = 0;
   {
     ScriptedRegistry unused(loop);
@@ -51,7 +52,7 @@
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk));
 }
 
-TEST_F(NodeTest, RequestsAreRejectedWhileTheEngineListIsEmpty) {
+TEST_F(NodeTest, RejectsRequestsWhileEngineListIsEmpty) {
   ScriptedRegistry registry(loop);
   registry.first.set_full(true);
   registry.sendEmpty = true;
@@ -62,7 +63,7 @@
   EXPECT_EQ(response->finalStatus(), "refused");
 }
 
-TEST_F(NodeTest, NoNewRequestGoesToADrainingEngine) {
+TEST_F(NodeTest, SendsNoNewRequestToDrainingEngine) {
   ScriptedEngine other(loop, 3);
   ScriptedRegistry registry(loop);
   registry.first.set_full(true);
@@ -84,7 +85,8 @@
   EXPECT_EQ(other.decodes, 6);
 }
 
-TEST_F(NodeTest, ABrokenWatchKeepsTheListAndIsReopened) {
+// The loss of the registry must not remove engines, neither from a running node nor at its next start.
+TEST_F(NodeTest, KeepsEngineListWhenWatchBreaksAndReopensIt) {
   ScriptedRegistry registry(loop);
   registry.first.set_full(true);
   ScriptedRegistry::add(registry.first, prefillEngine, v1::EngineEntry::PREFILL);
@@ -98,9 +100,9 @@
   runFor(0.1);
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the last list stays in service";
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the last engine list must stay in use";
   EXPECT_TRUE(waitUntil([&] { return registry.watches == 2; }));
-  // A start while the registry is down uses the cached list.
+  // A node that starts while the registry is down uses the cached list.
   channel.reset();
   node.reset();
   registry.server.rejectConnections(true);
--- a/tests/node_engine_failure_test.cpp
+++ b/tests/node_engine_failure_test.cpp
@@ -1,4 +1,4 @@
-// What a node does when engines and clients fail: retries, releases, recovery of streams.
+// Tests of a node whose engines or clients fail: retries, releases, recovery of streams.
 #include <gtest/gtest.h>
 
 #include "node_fixture.h"
@@ -6,22 +6,26 @@
 namespace gannetcourse::node {
 namespace {
 
-TEST_F(NodeTest, ASilentDecodeEngineIsEndedBeforeTheDeadline) {
+// The engine sends one token and then nothing. The client must get DEADLINE_EXCEEDED, and the engine's call
+// must be cancelled.
+TEST_F(NodeTest, EndsRequestWhenDecodeEngineSendsNothingMore) {
   startWithTwoEngines();
   decodeEngine.onDecode = [](const ServerCall& call, const v1::DecodeRequest&) {
     ScriptedEngine::sendToken(call, 0, "one ");
   };
   const auto response = generate(query(), Duration(2));
-  const Instant from = net::monotonicNow();
+  const Instant startedAt = net::monotonicNow();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kDeadlineExceeded));
-  EXPECT_GE((net::monotonicNow() - from).count(), 1.0) << "not before its time";
+  EXPECT_GE((net::monotonicNow() - startedAt).count(), 1.0) << "ended long before the deadline";
   EXPECT_EQ(response->tokens.size(), 1u);
-  EXPECT_TRUE(waitUntil([&] { return decodeEngine.cancelled == 1; })) << "the engine's call is cancelled";
+  EXPECT_TRUE(waitUntil([&] { return decodeEngine.cancelled == 1; }))
+      << "the engine's call must be cancelled";
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-TEST_F(NodeTest, AClientThatCancelsDuringARetryGetsNoFurtherAttempt) {
+// Guards against attempts and states that are left behind when the client cancels while a retry is in flight.
+TEST_F(NodeTest, StartsNoAttemptAfterClientCancelsDuringRetry) {
   startWithTwoEngines();
   int errors = 0;
   prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) {
@@ -33,13 +37,14 @@
   response->call->cancel();
   EXPECT_TRUE(waitUntil([&] { return prefillEngine.cancelled == 1 && prefillEngine.releases == 1; }));
   runFor();
-  EXPECT_EQ(prefillEngine.prefills, 2) << "no attempt after the cancellation";
+  EXPECT_EQ(prefillEngine.prefills, 2) << "no attempt may start after the cancellation";
   EXPECT_EQ(response->ends, 1);
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-// No decode engine takes the state, and its prefill engine does not take the release at once.
-TEST_F(NodeTest, AReleaseThatItsEngineDoesNotTakeIsRetried) {
+// All decodes are rejected, so the prefilled state must be released; the engine rejects the first releases.
+// Without a retry the state would occupy the engine's memory.
+TEST_F(NodeTest, RetriesReleaseThatEngineRejects) {
   startWithTwoEngines();
   decodeEngine.onDecode = [](const ServerCall& call, const v1::DecodeRequest&) {
     call->finish({grpc::Code::kResourceExhausted, "full"});
@@ -53,7 +58,8 @@
   EXPECT_EQ(prefillEngine.releases, prefillEngine.prefills + kFailures);
 }
 
-TEST_F(NodeTest, AReplyAfterItsCallWasCancelledIsIgnored) {
+// The reply and the cancellation cross on the wire; the reply must not start a decode.
+TEST_F(NodeTest, IgnoresPrefillReplyAfterCancellation) {
   startWithTwoEngines();
   ServerCall openCall;
   prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) { openCall = call; };
@@ -67,7 +73,7 @@
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-TEST_F(NodeTest, APrefillWhoseConnectionBreaksIsRetried) {
+TEST_F(NodeTest, RetriesPrefillWhenConnectionBreaks) {
   startWithTwoEngines();
   prefillEngine.onPrefill = [&](const ServerCall& call, const v1::PrefillRequest&) {
     if (prefillEngine.prefills == 1) return loop.defer([this] { prefillEngine.server.abortAll(); });
@@ -75,12 +81,13 @@
   };
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "a prefill has no effect: it is retried";
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "a prefill has no side effect and must be retried";
   EXPECT_EQ(prefillEngine.prefills, 2);
   EXPECT_EQ(response->tokens.size(), 2u);
 }
 
-TEST_F(NodeTest, AnAtMostOnceRequestThatMayHaveRunIsNotRetried) {
+// The connection breaks during the decode of an at-most-once class; a retry could repeat its effect.
+TEST_F(NodeTest, DoesNotRetryAtMostOnceRequestThatMayHaveRun) {
   startWithTwoEngines();
   decodeEngine.onDecode = [&](const ServerCall&, const v1::DecodeRequest&) {
     loop.defer([this] { decodeEngine.server.abortAll(); });
@@ -95,7 +102,7 @@
   EXPECT_EQ(decodeEngine.decodes, 1);
 }
 
-TEST_F(NodeTest, AnUnreachablePrefillEngineIsPassedOver) {
+TEST_F(NodeTest, UsesOtherPrefillEngineWhenOneIsUnreachable) {
   ScriptedEngine other(loop, 3);
   start(fileSource({{&prefillEngine, "prefill"}, {&other, "prefill"}, {&decodeEngine, "decode"}}));
   prefillEngine.server.rejectConnections(true);
@@ -107,7 +114,8 @@
   EXPECT_EQ(other.prefills, 4);
 }
 
-TEST_F(NodeTest, GoAwayWithCallsInFlightLosesNothing) {
+// After GOAWAY an engine accepts no new calls, but streams in flight must continue to their end.
+TEST_F(NodeTest, CompletesStreamInFlightAfterGoAway) {
   startWithTwoEngines();
   ServerCall openCall;
   decodeEngine.onDecode = [&](const ServerCall& call, const v1::DecodeRequest&) {
@@ -125,26 +133,29 @@
   EXPECT_EQ(response->tokens.size(), 2u);
 }
 
-TEST_F(NodeTest, AnEngineReplacedOnTheSamePortIsUsed) {
-  auto old = std::make_unique<ScriptedEngine>(loop, 7);
-  const std::uint16_t port = old->server.port();
-  start(fileSource({{&prefillEngine, "prefill"}, {old.get(), "decode"}}));
+// Guards against a node that keeps using the channel of the earlier engine at the address.
+TEST_F(NodeTest, UsesEngineThatReplacesAnotherOnSamePort) {
+  auto first = std::make_unique<ScriptedEngine>(loop, 7);
+  const std::uint16_t port = first->server.port();
+  start(fileSource({{&prefillEngine, "prefill"}, {first.get(), "decode"}}));
   auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_EQ(old->decodes, 1);
-  old->server.abortAll();
+  EXPECT_EQ(first->decodes, 1);
+  first->server.abortAll();
   runFor(0.05);
-  old.reset();
-  ScriptedEngine fresh(loop, 8, port);
-  writeEngineList({{&prefillEngine, "prefill"}, {&fresh, "decode"}});
+  first.reset();
+  ScriptedEngine replacement(loop, 8, port);
+  writeEngineList({{&prefillEngine, "prefill"}, {&replacement, "decode"}});
   node->reload(node->settings());
   response = generate();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
-  EXPECT_EQ(fresh.decodes, 1);
+  EXPECT_EQ(replacement.decodes, 1);
 }
 
-TEST_F(NodeTest, LongStreamsMigrateFromAnEngineThatSendsGoAway) {
+// A stream that would outlast the engine's shutdown continues at another engine, without a lost or repeated
+// token.
+TEST_F(NodeTest, MovesLongStreamToOtherEngineAfterGoAway) {
   ScriptedEngine other(loop, 3);
   ScriptedEngine* firstEngine = nullptr;
   const auto decodeAt = [&](ScriptedEngine& engine) {
@@ -165,7 +176,7 @@
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
   EXPECT_EQ(response->tokens, (std::vector<std::string>{"one ", "two"}));
-  EXPECT_EQ(firstEngine->cancelled, 1) << "cancelled, not broken";
+  EXPECT_EQ(firstEngine->cancelled, 1) << "the first stream must be cancelled";
   EXPECT_EQ(firstEngine->decodes, 1);
 }
 
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,5 +1,5 @@
-// A whole node on loopback with scripted engines and a client. Each wait is for what must happen, with a
-// limit that only a broken program reaches.
+// Fixture with a complete node on loopback, scripted engines and a client. Waits end as soon as their
+// condition holds; their time limit is reached only when a test fails.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
 
 using ServerCall = std::shared_ptr<grpc::ServerCall>;
 
-/// An engine whose answers the test scripts; by default it answers prefills and decodes at once.
+/// A fake engine whose responses a test can replace. By default it completes prefills and decodes at once.
 struct ScriptedEngine {
   explicit ScriptedEngine(net::Loop& loop, std::uint32_t number, std::uint16_t port = 0)
       : id(number), server(loop, {"127.0.0.1", port}) {
@@ -78,32 +78,32 @@
   std::uint32_t id;
   grpc::Server server;
   int prefills = 0, decodes = 0, releases = 0, fences = 0;  // calls received
-  int cancelled = 0;  // prefills and decodes that the node has cancelled
-  int releasesToFail = 0;
+  int cancelled = 0;       // prefills and decodes that the node has cancelled
+  int releasesToFail = 0;  // number of further releases to reject
   std::vector<ServerCall> calls;
-  /// Replace the default answers where set.
+  /// Replace the default responses if set.
   std::function<void(const ServerCall&, const v1::PrefillRequest&)> onPrefill;
   std::function<void(const ServerCall&, const v1::DecodeRequest&)> onDecode;
 };
 
-/// What a client has received of one Generate call.
+/// What the client has received in one Generate call.
 struct Response {
   std::shared_ptr<grpc::ClientCall> call;
   std::vector<std::string> tokens;
-  std::string resumeToken;  // the newest
+  std::string resumeToken;  // the latest
   std::optional<grpc::CallEnd> end;
-  int ends = 0;  // must not exceed 1
+  int ends = 0;  // calls of onEnd; must not exceed 1
   bool endedWith(grpc::Code code) const {
     return end && end->kind == grpc::CallEnd::Kind::kStatus && end->status.code == code;
   }
-  /// As the trailer names it: "served", "refused", "failed", "deadline".
+  /// Value of the gannetcourse-verdict trailer: "served", "refused", "failed", "deadline".
   std::string finalStatus() const {
     const std::string* status = end ? http2::find(end->trailers, "gannetcourse-verdict") : nullptr;
     return status == nullptr ? "" : *status;
   }
 };
 
-/// A prefill engine, a decode engine, and a node that start() makes.
+/// Owns a prefill engine, a decode engine, and a node and a client channel that start() creates.
 class NodeTest : public ::testing::Test {
  protected:
   NodeTest()
@@ -124,7 +124,7 @@
     return path;
   }
 
-  /// The <fleet> element for a list of these engines.
+  /// Writes a list of these engines and returns the settings' <fleet> element that refers to it.
   std::string fileSource(const std::vector<std::pair<ScriptedEngine*, const char*>>& engines) {
     return "<fleet file='" + writeEngineList(engines) + "'/>";
   }
@@ -139,7 +139,7 @@
            source + extra + "</gannetcourse>";
   }
 
-  /// `source` is the settings' <fleet> element, `extra` any further ones.
+  /// Starts the node. `source` is the settings' <fleet> element, `extra` any further elements.
   void start(const std::string& source, const std::string& extra = "", const std::string& incarnation = "t") {
     Node::Hooks hooks;
     hooks.onRecord = [this](const router::Record& record) { records.push_back(record); };
@@ -180,7 +180,7 @@
     return response;
   }
 
-  /// Runs the loop until `done`. False where the limit passes first.
+  /// Runs the loop until `done` returns true. Returns false if `limit` seconds pass first.
   template <class Done>
   bool waitUntil(const Done& done, double limit = kWaitLimit) {
     const Instant end = net::monotonicNow() + Duration(limit);
@@ -190,7 +190,7 @@
   bool waitForEnd(const std::shared_ptr<Response>& response) {
     return waitUntil([&] { return response->end.has_value(); });
   }
-  /// Runs the loop for as long as something unwanted would take to happen.
+  /// Runs the loop for a fixed time, in which an unexpected event would occur.
   void runFor(double seconds = 0.3) {
     waitUntil([] { return false; }, seconds);
   }
--- a/tests/node_flow_control_test.cpp
+++ b/tests/node_flow_control_test.cpp
@@ -1,4 +1,4 @@
-// Backpressure of slow clients, and what it costs others.
+// Tests of backpressure from clients that do not read, and of its effect on other clients.
 #include <gtest/gtest.h>
 
 #include "node_fixture.h"
@@ -6,7 +6,9 @@
 namespace gannetcourse::node {
 namespace {
 
-TEST_F(NodeTest, AClientThatNeverReadsBuffersLittleAndDelaysNobody) {
+// Guards against a node that buffers a whole response, or delays other requests, because one client does not
+// read.
+TEST_F(NodeTest, LimitsBufferingForClientThatDoesNotReadAndServesOthers) {
   startWithTwoEngines();
   const std::string text(1000, 'x');
   std::uint32_t sent = 0;
@@ -25,7 +27,8 @@
   response->call->pause(true);
   ASSERT_TRUE(waitUntil([&] { return slowDecode != nullptr; }));
   runFor(0.5);
-  // Most of it still waits at the engine: the node took its buffer and a window of each side.
+  // Most of the output is still at the engine: the node has read at most its stream buffer and one
+  // flow-control window on each side.
   EXPECT_GT(slowDecode->pendingBytes(), 500000u - 8 * 1024 - 8 * 1024 - 4096 - 20000);
   const auto quick = generate();
   ASSERT_TRUE(waitForEnd(quick));
@@ -37,7 +40,9 @@
   EXPECT_EQ(response->tokens.size(), 500u);
 }
 
-TEST_F(NodeTest, BackpressureAppliesToTheNextDecodeEngineToo) {
+// The stream is lost while its client does not read. The call to the next engine starts unpaused and must be
+// paused as well.
+TEST_F(NodeTest, AppliesBackpressureToEngineOfContinuation) {
   ScriptedEngine other(loop, 3);
   const std::uint32_t tokenCount = 45;
   std::vector<ServerCall> decodes;
@@ -57,13 +62,14 @@
   response->call->pause(true);
   ASSERT_TRUE(waitUntil([&] { return !decodes.empty(); }));
   runFor(0.4);
-  EXPECT_GT(decodes.front()->pendingBytes(), 10000u) << "the node has taken a buffer and no more";
+  EXPECT_GT(decodes.front()->pendingBytes(), 10000u) << "the node must not read more than its stream buffer";
   decodeEngine.server.abortAll();
   other.server.abortAll();
   ASSERT_TRUE(waitUntil([&] { return decodes.size() == 2; }));
   runFor(0.4);
   EXPECT_GT(firstIndexes[1], 0u);
-  EXPECT_GT(decodes[1]->pendingBytes(), 1000u) << "the buffer is still full: the next engine waits as well";
+  EXPECT_GT(decodes[1]->pendingBytes(), 1000u)
+      << "the buffer is still full, so the next engine must wait too";
   response->call->pause(false);
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -1,4 +1,4 @@
-// Reloads of a running node, idle and under load.
+// Tests of reloads of a running node, idle and under load.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace gannetcourse::node {
 namespace {
 
-// Other classes, tenants and limits than NodeTest::settingsText() has; "order" is idempotent here.
+// Settings with other classes, tenants and limits than NodeTest::settingsText(); "order" is idempotent here.
 std::string migratedSettings(const std::string& fleet) {
   return "<gannetcourse xmlns='urn:gannetcourse:settings:1'><node name='n1' zone='north' nodes='150'/>"
          "<listen grpc='127.0.0.1:0' stream-buffer='8KiB' max-metadata='2KiB' max-message='64KiB'/>"
@@ -23,7 +23,7 @@
          fleet + "</gannetcourse>";
 }
 
-TEST_F(NodeTest, AFailedReloadChangesNothing) {
+TEST_F(NodeTest, FailedReloadChangesNothing) {
   startWithTwoEngines();
   std::ofstream(folder / "fleet.xml") << "<fleet xmlns='urn:gannetcourse:fleet:1'><engine id='1'/></fleet>";
   EXPECT_THROW(node->reload(node->settings()), config::InvalidFile);
@@ -35,11 +35,11 @@
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk));
 }
 
-TEST_F(NodeTest, AReloadChangesTheClassLimits) {
+TEST_F(NodeTest, ReloadAppliesClassLimits) {
   startWithTwoEngines();
-  config::NodeSettings fresh = node->settings();
-  fresh.classes[0].maxPromptTokens = 50;
-  node->reload(fresh);
+  config::NodeSettings changed = node->settings();
+  changed.classes[0].maxPromptTokens = 50;
+  node->reload(changed);
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument));
@@ -47,7 +47,7 @@
             logLines.end());
 }
 
-// A running node is moved to settings with other classes, and back.
+// Reloads a running node to settings with other classes, and back.
 class NodeMigrationTest : public NodeTest {
  protected:
   NodeMigrationTest() {
@@ -58,12 +58,12 @@
     booking.set_tenant("inn");
   }
 
-  void leaveDecodesOpen() {
+  void keepDecodesOpen() {
     decodeEngine.onDecode = [this](const ServerCall& call, const v1::DecodeRequest&) {
       openDecodes.push_back(call);
     };
   }
-  std::shared_ptr<Response> generateToItsDecode(const v1::GenerateRequest& request) {
+  std::shared_ptr<Response> generateAndWaitForDecode(const v1::GenerateRequest& request) {
     const std::size_t before = openDecodes.size();
     auto response = generate(request);
     EXPECT_TRUE(waitUntil([&] { return openDecodes.size() == before + 1; }));
@@ -75,14 +75,16 @@
   std::vector<ServerCall> openDecodes;
 };
 
-TEST_F(NodeMigrationTest, LosesAndRepeatsNothingForthAndBack) {
-  leaveDecodesOpen();
-  const auto acceptedBefore = generateToItsDecode(order);
+// Guards against requests that are lost, repeated or handled under another class because a reload removes
+// or changes their class.
+TEST_F(NodeMigrationTest, KeepsOpenRequestsAcrossMigrationAndBack) {
+  keepDecodesOpen();
+  const auto acceptedBefore = generateAndWaitForDecode(order);
   ASSERT_EQ(openDecodes.size(), 1u);
 
   node->reload(config::parseSettings(migratedSettings(source), "migrated.xml"));
-  EXPECT_EQ(node->core().openRequests(), 1u) << "an accepted request stays accepted";
-  // It may have run: under its old class it must not run again.
+  EXPECT_EQ(node->core().openRequests(), 1u) << "the accepted request must stay open";
+  // The request may have run. Its class was at-most-once when it was accepted, so it must not run again.
   openDecodes[0]->finish({grpc::Code::kInternal, "broke"});
   ASSERT_TRUE(waitForEnd(acceptedBefore));
   EXPECT_EQ(acceptedBefore->finalStatus(), "failed");
@@ -92,30 +94,31 @@
   decodeEngine.onDecode = nullptr;
   const auto outOfService = generate();
   EXPECT_TRUE(waitUntil([&] { return outOfService->endedWith(grpc::Code::kInvalidArgument); }))
-      << "query is not in service";
+      << "class query must be out of service";
   const auto booked = generate(booking);
   ASSERT_TRUE(waitForEnd(booked));
   EXPECT_TRUE(booked->endedWith(grpc::Code::kOk)) << booked->end->status.message;
 
-  leaveDecodesOpen();
-  const auto underWay = generateToItsDecode(booking);
+  keepDecodesOpen();
+  const auto inFlight = generateAndWaitForDecode(booking);
   ASSERT_EQ(openDecodes.size(), 2u);
-  node->reload(config::parseSettings(settingsText(source), "node.xml"));  // the way back is the same step
+  node->reload(config::parseSettings(settingsText(source), "node.xml"));
   ScriptedEngine::sendToken(openDecodes[1], 0, "done");
   openDecodes[1]->finish({});
-  ASSERT_TRUE(waitForEnd(underWay));
-  EXPECT_TRUE(underWay->endedWith(grpc::Code::kOk)) << "a booking is finished under its class";
+  ASSERT_TRUE(waitForEnd(inFlight));
+  EXPECT_TRUE(inFlight->endedWith(grpc::Code::kOk)) << "the request must finish under its earlier class";
   decodeEngine.onDecode = nullptr;
   const auto acceptedAfter = generate();
   ASSERT_TRUE(waitForEnd(acceptedAfter));
   EXPECT_TRUE(acceptedAfter->endedWith(grpc::Code::kOk));
-  EXPECT_EQ(node->settings().classes.size(), 4u) << "query and order found their earlier indices";
+  EXPECT_EQ(node->settings().classes.size(), 4u) << "query and order must get their earlier indices";
   EXPECT_EQ(node->core().openRequests(), 0u);
-  for (const auto& response : {acceptedBefore, booked, underWay, acceptedAfter}) EXPECT_EQ(response->ends, 1);
+  for (const auto& response : {acceptedBefore, booked, inFlight, acceptedAfter}) EXPECT_EQ(response->ends, 1);
 }
 
-// Forth, back and forth again with streams open, prefills and retries pending, and a failing reload in
-// between. Some decodes and prefills stay open over a reload, some decodes fail.
+// Alternates between two settings while streams, prefills and retries are in flight. Before each reload, one
+// with invalid settings fails.
+// Some decodes and prefills stay open during a reload; some decodes fail.
 class NodeMigrationUnderLoadTest : public NodeMigrationTest {
  protected:
   NodeMigrationUnderLoadTest() {
@@ -145,7 +148,7 @@
     for (const ServerCall& call : std::exchange(openPrefills, {})) ScriptedEngine::replyToPrefill(call);
   }
 
-  // Request `number` of those that come while the node has its original or its migrated settings.
+  // Sends request `number` while the node has its migrated or its original settings.
   void sendRequest(std::uint64_t number, bool isMigrated) {
     const bool odd = number % 2 == 1;
     const std::string oddClass = isMigrated ? "booking" : "query";
@@ -172,7 +175,7 @@
   std::map<std::uint64_t, int> runs;  // by the request's seed
 };
 
-TEST_F(NodeMigrationUnderLoadTest, AnswersOnceAndRunsAtMostOnceRequestsOnce) {
+TEST_F(NodeMigrationUnderLoadTest, RespondsOnceAndRunsAtMostOnceRequestsAtMostOnce) {
   for (std::uint64_t number = 1; number <= 80; ++number) {
     const bool isMigrated = number / 10 % 2 == 1;
     sendRequest(number, isMigrated);
@@ -197,7 +200,7 @@
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-TEST_F(NodeTest, AReloadWithAMissingEngineListChangesNothing) {
+TEST_F(NodeTest, ReloadWithMissingEngineListChangesNothing) {
   startWithTwoEngines();
   const std::string fleet = "<fleet file='" + (folder / "nowhere.xml").string() + "'/>";
   EXPECT_THROW(node->reload(config::parseSettings(migratedSettings(fleet), "migrated.xml")),
--- a/tests/node_request_test.cpp
+++ b/tests/node_request_test.cpp
@@ -1,4 +1,4 @@
-// Requests end to end: validation, final responses, drain and health of a whole node.
+// Tests of a complete node: validation of requests, final responses, drain and health.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 namespace gannetcourse::node {
 namespace {
 
-TEST_F(NodeTest, StreamsAResponseFromEndToEnd) {
+TEST_F(NodeTest, StreamsResponseThroughPrefillAndDecode) {
   startWithTwoEngines();
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
@@ -23,10 +23,11 @@
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
-TEST_F(NodeTest, RejectsAnInvalidRequestNamingTheField) {
+// An invalid request must be rejected with the name of its field, without a call to an engine.
+TEST_F(NodeTest, RejectsInvalidRequestAndNamesField) {
   startWithTwoEngines();
   struct Case {
-    void (*spoil)(v1::GenerateRequest&);
+    void (*makeInvalid)(v1::GenerateRequest&);
     const char* field;
   };
   const Case cases[] = {
@@ -39,7 +40,7 @@
   };
   for (const Case& invalid : cases) {
     v1::GenerateRequest request = query();
-    invalid.spoil(request);
+    invalid.makeInvalid(request);
     const auto response = generate(request);
     ASSERT_TRUE(waitForEnd(response));
     EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument)) << invalid.field;
@@ -55,21 +56,23 @@
   ASSERT_TRUE(waitForEnd(late));
   EXPECT_TRUE(late->endedWith(grpc::Code::kDeadlineExceeded));
   EXPECT_EQ(prefillEngine.prefills, 0);
-  EXPECT_EQ(node->core().counters().accepted, 0u) << "invalid requests are not accepted";
+  EXPECT_EQ(node->core().counters().accepted, 0u) << "invalid requests must not be accepted";
 }
 
-TEST_F(NodeTest, ARejectionCarriesRetryAfter) {
+// Without engines requests are rejected; without a retry delay clients would retry at once.
+TEST_F(NodeTest, RejectionCarriesRetryDelay) {
   start(fileSource({}));
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kUnavailable)) << response->end->status.message;
   EXPECT_EQ(response->finalStatus(), "refused");
-  const std::string* advice = http2::find(response->end->trailers, "grpc-retry-pushback-ms");
-  ASSERT_NE(advice, nullptr);
-  EXPECT_GT(std::stoi(*advice), 0);
+  const std::string* retryDelay = http2::find(response->end->trailers, "grpc-retry-pushback-ms");
+  ASSERT_NE(retryDelay, nullptr);
+  EXPECT_GT(std::stoi(*retryDelay), 0);
 }
 
-TEST_F(NodeTest, ADrainFinishesAcceptedRequestsAndRejectsNewOnes) {
+// Guards against a drain that ends while a request is in prefill or decode, or that accepts further requests.
+TEST_F(NodeTest, DrainFinishesAcceptedRequestsAndRejectsNewOnes) {
   startWithTwoEngines();
   ServerCall openDecode;
   decodeEngine.onDecode = [&](const ServerCall& call, const v1::DecodeRequest&) {
@@ -86,7 +89,7 @@
   node->drain([&] { drained = true; });
   const auto late = generate();
   runFor();
-  EXPECT_FALSE(drained) << "two requests still wait for their response";
+  EXPECT_FALSE(drained) << "two accepted requests have no response yet";
   openDecode->finish({});
   decodeEngine.onDecode = nullptr;
   ScriptedEngine::replyToPrefill(openPrefill);
@@ -97,7 +100,7 @@
   EXPECT_FALSE(late->endedWith(grpc::Code::kOk));
 }
 
-TEST_F(NodeTest, HealthFollowsTheNode) {
+TEST_F(NodeTest, HealthWatchReportsNotServingOnDrain) {
   startWithTwoEngines();
   using ::grpc::health::v1::HealthCheckRequest;
   using ::grpc::health::v1::HealthCheckResponse;
@@ -115,9 +118,10 @@
   EXPECT_EQ(statuses, (std::vector<int>{HealthCheckResponse::SERVING, HealthCheckResponse::NOT_SERVING}));
 }
 
-TEST_F(NodeTest, TenThousandConnectionsOpenedAndClosed) {
+// Guards against connections that are not released when their peer closes at once or sends invalid bytes.
+TEST_F(NodeTest, ServesRequestAfterTenThousandBrokenConnections) {
   startWithTwoEngines();
-  const sockaddr_in to = [&] {
+  const sockaddr_in nodeAddress = [&] {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(node->port());
@@ -127,8 +131,8 @@
   for (int i = 0; i < 10000; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     ASSERT_GE(fd, 0);
-    static_cast<void>(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to));
-    // Half of them close at once, half after bytes that are not HTTP/2; a third by a reset.
+    static_cast<void>(connect(fd, reinterpret_cast<const sockaddr*>(&nodeAddress), sizeof nodeAddress));
+    // Half of the connections send bytes that are not HTTP/2, the others nothing; a third close with a RST.
     if (i % 2 == 0) static_cast<void>(send(fd, "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL));
     const linger now{1, i % 3 == 0 ? 0 : 1};
     if (i % 3 == 0) setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
--- a/tests/node_resume_test.cpp
+++ b/tests/node_resume_test.cpp
@@ -1,4 +1,4 @@
-// Resume tokens: responses that another node finishes.
+// Tests of resume tokens, with which a client continues its response at another node.
 #include <gtest/gtest.h>
 
 #include "node_fixture.h"
@@ -6,7 +6,9 @@
 namespace gannetcourse::node {
 namespace {
 
-TEST_F(NodeTest, AResponseIsResumedAtAnotherNodeAfterItsNodeDied) {
+// The node is destroyed after two tokens. Its successor must continue with the third, under a higher attempt
+// number than the first node used.
+TEST_F(NodeTest, ResumesResponseAtAnotherNodeAfterNodeDied) {
   std::ofstream(folder / "keys") << "autumn " << std::string(64, 'a') << "\n";
   const std::string source = fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}});
   const std::string keys = "<resume key-file='" + (folder / "keys").string() + "'/>";
@@ -27,8 +29,8 @@
   const auto first = generate();
   ASSERT_TRUE(waitUntil([&] { return first->tokens.size() == 2; }));
   ASSERT_FALSE(first->resumeToken.empty());
-  EXPECT_EQ(first->resumeToken.find("n1-t"), std::string::npos) << "the token shows the client nothing";
-  node.reset();  // as if it crashed: its connections end
+  EXPECT_EQ(first->resumeToken.find("n1-t"), std::string::npos) << "the token must be encrypted";
+  node.reset();  // like a crash: its connections close
   ASSERT_TRUE(waitUntil([&] { return first->end && decodeEngine.cancelled == 1; }));
   start(source, keys, "later");
   v1::GenerateRequest rest = query();
@@ -41,11 +43,11 @@
   EXPECT_EQ(second->tokens, (std::vector<std::string>{"c ", "d"}));
   EXPECT_EQ(continuedPrompt, "why?a b ");
   EXPECT_EQ(firstIndex, 2u);
-  EXPECT_EQ(attempt, 3u) << "engines know it as the newest of the same request";
-  EXPECT_GE(decodeEngine.fences, 1) << "the dead node's attempt is known to have ended first";
+  EXPECT_EQ(attempt, 3u) << "must exceed the attempts of the first node";
+  EXPECT_GE(decodeEngine.fences, 1) << "the first node's attempt must be fenced";
 }
 
-TEST_F(NodeTest, InvalidResumeTokensAreRejectedWithTheReason) {
+TEST_F(NodeTest, RejectsInvalidResumeTokenWithReason) {
   std::ofstream(folder / "keys") << "autumn " << std::string(64, 'a') << "\n";
   start(fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}}),
         "<resume key-file='" + (folder / "keys").string() + "'/>");
@@ -73,7 +75,7 @@
     EXPECT_TRUE(response->endedWith(grpc::Code::kInvalidArgument));
     EXPECT_EQ(response->end->status.message.find(reason), 0u) << response->end->status.message;
   }
-  // A reload puts another key in service, without the earlier one.
+  // A reload replaces the key, so tokens sealed with the earlier key become invalid.
   std::ofstream(folder / "keys") << "winter " << std::string(64, 'b') << "\n";
   node->reload(node->settings());
   const auto late = generate(valid);
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,4 @@
-// gRPC's wire conventions.
+// Tests of gRPC's wire conventions: time-outs, percent encoding, message frames, status codes.
 #include "grpc/protocol.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace gannetcourse::grpc {
 namespace {
 
-TEST(Timeout, ReadsEveryUnit) {
+TEST(GrpcTimeout, ParsesEveryUnit) {
   EXPECT_DOUBLE_EQ(parseTimeout("2H")->count(), 7200);
   EXPECT_DOUBLE_EQ(parseTimeout("3M")->count(), 180);
   EXPECT_DOUBLE_EQ(parseTimeout("15S")->count(), 15);
@@ -15,12 +15,13 @@
   EXPECT_NEAR(parseTimeout("1n")->count(), 1e-9, 1e-15);
 }
 
-TEST(Timeout, RejectsMalformedText) {
+TEST(GrpcTimeout, RejectsMalformedText) {
   for (const char* text : {"", "S", "15", "1.5S", "-1S", "123456789S", "1x", " 1S", "1 S"})
     EXPECT_FALSE(parseTimeout(text)) << text;
 }
 
-TEST(Timeout, IsNeverRoundedUp) {
+// A server must not run a call beyond the client's deadline.
+TEST(GrpcTimeout, FormatsWithoutRoundingUp) {
   for (const double seconds : {1e-9, 0.0004, 0.1, 1.0 / 3, 5.4321, 99.9999, 86400.5, 1e9}) {
     const auto again = parseTimeout(formatTimeout(Duration(seconds)));
     ASSERT_TRUE(again) << seconds;
@@ -29,7 +30,7 @@
   }
 }
 
-TEST(PercentEncoding, RoundTrips) {
+TEST(PercentEncoding, RoundTripsTextAndKeepsBrokenEscapes) {
   const std::string text = "100% of \xc3\xa9t\xc3\xa9\nnext";
   EXPECT_EQ(percentEncode(text), "100%25 of %C3%A9t%C3%A9%0Anext");
   EXPECT_EQ(percentDecode(percentEncode(text)), text);
@@ -37,7 +38,7 @@
   EXPECT_EQ(percentDecode("%zz%2"), "%zz%2");
 }
 
-TEST(MessageReader, SplitsOneByteWrites) {
+TEST(MessageReader, SplitsMessagesThatArriveByteByByte) {
   const std::string bytes = frame("first") + frame("") + frame(std::string(70000, 'x'));
   MessageReader reader(100000);
   std::vector<std::size_t> sizes;
@@ -49,13 +50,13 @@
   EXPECT_FALSE(reader.isInsideMessage());
 }
 
-TEST(MessageReader, StopsAtFaults) {
+TEST(MessageReader, ReturnsNothingAfterFault) {
   const auto faultOf = [](const std::string& bytes, std::size_t maxMessageBytes = 100) {
     MessageReader reader(maxMessageBytes);
     reader.add(bytes);
     EXPECT_FALSE(reader.next());
     reader.add(frame("good"));
-    EXPECT_FALSE(reader.next()) << "nothing after a fault";
+    EXPECT_FALSE(reader.next()) << "no message after a fault";
     return reader.fault();
   };
   EXPECT_EQ(faultOf(std::string("\1\0\0\0\1x", 6)), MessageReader::Fault::kCompressed);
@@ -63,7 +64,7 @@
   EXPECT_EQ(faultOf(std::string("\0\xff\xff\xff\xff", 5)), MessageReader::Fault::kTooLarge);
 }
 
-TEST(Codes, OfUnknownNumbersAreUnknown) {
+TEST(StatusCode, MapsInvalidNumbersToUnknown) {
   EXPECT_EQ(codeFromText("0"), Code::kOk);
   EXPECT_EQ(codeFromText("14"), Code::kUnavailable);
   for (const char* text : {"17", "-1", "", "x", "1x"}) EXPECT_EQ(codeFromText(text), Code::kUnknown) << text;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Stored data of earlier versions is read by this one: samples recorded with version d0b718d, before names
-// changed.
+// Tests that stored data of earlier versions can be read. The samples were recorded with version d0b718d,
+// before names were changed.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,7 +13,7 @@
 namespace gannetcourse {
 namespace {
 
-const std::string kData = TEST_DATA;
+const std::string kDataFolder = TEST_DATA;
 
 std::string contentOf(const std::string& path) {
   std::ostringstream content;
@@ -28,8 +28,8 @@
   return bytes;
 }
 
-TEST(StoredDataTest, ASavedEngineListIsReadAndWrittenAlike) {
-  const std::string path = kData + "/saved-engine-list.xml";
+TEST(StoredDataTest, ReadsAndRewritesEngineListOfEarlierVersion) {
+  const std::string path = kDataFolder + "/saved-engine-list.xml";
   const discovery::EntryResolver resolver({"north", "south"}, Instant{}, 0);
   const discovery::EngineList list = discovery::loadEngineListFile(path, resolver);
   EXPECT_EQ(list.version, 42u);
@@ -48,9 +48,9 @@
   EXPECT_EQ(discovery::formatEngineList(list), contentOf(path));
 }
 
-TEST(StoredDataTest, AResumeTokenIsOpened) {
+TEST(StoredDataTest, OpensResumeTokenOfEarlierVersion) {
   const auto sealer = resume::Sealer::parse("old " + std::string(64, '1') + "\n", "keys");
-  const auto opened = sealer.open(bytesOfHex(contentOf(kData + "/resume-token.hex")));
+  const auto opened = sealer.open(bytesOfHex(contentOf(kDataFolder + "/resume-token.hex")));
   ASSERT_TRUE(opened);
   v1::ResumePoint point;
   ASSERT_TRUE(point.ParseFromString(*opened));
