--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -1,4 +1,4 @@
-// A grpc::Channel against a raw server that answers in every wrong way.
+// Tests grpc::Channel against a raw server that sends valid and invalid responses.
 #include "grpc/channel.h"
 
 #include "engines/call_outcome.h"
@@ -20,29 +20,29 @@
   }
 
   template <class Done>
-  bool until(const Done& done) {
+  bool waitUntil(const Done& done) {
     return runUntil(loop, done);
   }
 
-  std::shared_ptr<ClientCall> call() {
+  std::shared_ptr<ClientCall> startCall() {
     auto started = channel->start("/test.Echo/Say", "hello");
     started->onMessage = [this](std::string_view message) { messages.emplace_back(message); };
     started->onEnd = [this](const CallEnd& end) { ends.push_back(end); };
     return started;
   }
 
-  // Waits until the request has come, then answers with these bytes.
-  CallEnd answered(const std::string& bytes) {
-    const auto started = call();
+  // Starts a call, waits for its request, responds with `bytes` and returns how the call ended.
+  CallEnd endAfterResponse(const std::string& bytes) {
+    const auto started = startCall();
     EXPECT_TRUE(
-        until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
+        waitUntil([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
     peer->write(frameOf(kSettings, 0, 0, "") + bytes);
-    EXPECT_TRUE(until([&] { return !ends.empty(); }));
+    EXPECT_TRUE(waitUntil([&] { return !ends.empty(); }));
     EXPECT_EQ(ends.size(), 1u);
     return ends.empty() ? CallEnd{} : ends.front();
   }
 
-  static std::string head(int flags = kEndHeaders) {
+  static std::string responseHeaders(int flags = kEndHeaders) {
     return frameOf(kHeaders, flags, 1, fields({{":status", "200"}, {"content-type", "application/grpc"}}));
   }
   static std::string trailers(const std::string& status) {
@@ -58,134 +58,153 @@
   std::vector<CallEnd> ends;
 };
 
-TEST_F(ChannelTest, ReadsAResponse) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0"));
+TEST_F(ChannelTest, ReadsResponse) {
+  const CallEnd end =
+      endAfterResponse(responseHeaders() + frameOf(kData, 0, 1, frame("world")) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kStatus);
   EXPECT_EQ(end.status.code, Code::kOk);
   EXPECT_EQ(messages, std::vector<std::string>{"world"});
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kOk);
 }
 
-TEST_F(ChannelTest, ReadsATrailersOnlyResponse) {
-  const CallEnd end =
-      answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1,
-                       fields({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
+// A server may send status and response headers in one block; its message is percent-encoded.
+TEST_F(ChannelTest, ReadsTrailersOnlyResponse) {
+  const CallEnd end = endAfterResponse(
+      frameOf(kHeaders, kEndHeaders | kEndStream, 1,
+              fields({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
   EXPECT_EQ(end.status.code, Code::kResourceExhausted);
   EXPECT_EQ(end.status.message, "full!");
-  EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected) << "known not to have run";
+  EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected)
+      << "RESOURCE_EXHAUSTED means that the call did not run";
 }
 
-TEST_F(ChannelTest, RefusedStreamsDidNotRun) {
-  const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kRefusedStream, 4)));
+// REFUSED_STREAM guarantees that the call did not run, so every request may be retried.
+TEST_F(ChannelTest, ReportsRefusedStreamAsNotRun) {
+  const CallEnd end = endAfterResponse(frameOf(kReset, 0, 1, number(http2::kRefusedStream, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
-TEST_F(ChannelTest, StreamsPastAGoawayDidNotRun) {
-  const CallEnd end = answered(frameOf(kGoaway, 0, 0, number(0, 4) + number(0, 4)));
+// A stream above the last stream id of a GOAWAY was not processed, so every request may be retried.
+TEST_F(ChannelTest, ReportsStreamAboveGoawayLimitAsNotRun) {
+  const CallEnd end = endAfterResponse(frameOf(kGoaway, 0, 0, number(0, 4) + number(0, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kRefusedStream);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
-TEST_F(ChannelTest, OtherResetsMayHaveRun) {
-  const CallEnd end = answered(frameOf(kReset, 0, 1, number(http2::kInternalError, 4)));
+// Guards against retries of at-most-once requests that the server may have run before the reset.
+TEST_F(ChannelTest, ReportsOtherResetAsPossiblyRun) {
+  const CallEnd end = endAfterResponse(frameOf(kReset, 0, 1, number(http2::kInternalError, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kReset);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kReset);
 }
 
-TEST_F(ChannelTest, ALostConnectionMayHaveRun) {
-  const auto started = call();
-  ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
+// Guards against retries of at-most-once requests that the server may have run before the connection broke.
+TEST_F(ChannelTest, ReportsLostConnectionAsPossiblyRun) {
+  const auto started = startCall();
+  ASSERT_TRUE(
+      waitUntil([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   peer.reset();
-  ASSERT_TRUE(until([&] { return !ends.empty(); }));
+  ASSERT_TRUE(waitUntil([&] { return !ends.empty(); }));
   EXPECT_EQ(ends.front().kind, CallEnd::Kind::kConnectionLost);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kReset);
 }
 
-TEST_F(ChannelTest, ARefusedConnectDidNotRun) {
+TEST_F(ChannelTest, ReportsRefusedConnectAsNotRunAndReconnects) {
   listener.rejectConnections(true);
-  const auto started = call();
-  ASSERT_TRUE(until([&] { return !ends.empty(); }));
+  const auto started = startCall();
+  ASSERT_TRUE(waitUntil([&] { return !ends.empty(); }));
   EXPECT_EQ(ends.front().kind, CallEnd::Kind::kNotSent);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kConnectFailed);
   listener.rejectConnections(false);
-  // The back-off is bounded: a later call finds the server again.
-  ASSERT_TRUE(until([&] {
+  // The backoff is bounded, so a later call reconnects to the server.
+  ASSERT_TRUE(waitUntil([&] {
     if (!peer && ends.size() < 100) {
-      const auto again = call();
-      until([&] { return again->isOver() || peer != nullptr; });
+      const auto again = startCall();
+      waitUntil([&] { return again->isOver() || peer != nullptr; });
     }
     return peer != nullptr;
   }));
 }
 
-TEST_F(ChannelTest, ResponsesWithoutAStatusAreMalformed) {
-  const CallEnd end = answered(head() + frameOf(kData, kEndStream, 1, frame("world")));
+TEST_F(ChannelTest, ReportsResponseWithoutStatusAsMalformed) {
+  const CallEnd end = endAfterResponse(responseHeaders() + frameOf(kData, kEndStream, 1, frame("world")));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kError);
 }
 
-TEST_F(ChannelTest, HttpFaultsBecomeStatuses) {
-  const CallEnd end = answered(frameOf(kHeaders, kEndHeaders | kEndStream, 1, fields({{":status", "503"}})));
+// Proxies respond with plain HTTP errors: 503 must become UNAVAILABLE.
+TEST_F(ChannelTest, MapsHttpErrorToStatusCode) {
+  const CallEnd end =
+      endAfterResponse(frameOf(kHeaders, kEndHeaders | kEndStream, 1, fields({{":status", "503"}})));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
   EXPECT_EQ(end.status.code, Code::kUnavailable);
 }
 
-TEST_F(ChannelTest, AResponseThatEndsInsideAMessageIsMalformed) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
+TEST_F(ChannelTest, ReportsResponseThatEndsInsideMessageAsMalformed) {
+  const CallEnd end =
+      endAfterResponse(responseHeaders() + frameOf(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
 }
 
-TEST_F(ChannelTest, AnOversizedResponseIsEnded) {
-  const CallEnd end = answered(head() + frameOf(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
+// The length in the prefix exceeds the limit: the channel must not buffer the message and must end the call.
+TEST_F(ChannelTest, ResetsStreamOfOversizedResponse) {
+  const CallEnd end =
+      endAfterResponse(responseHeaders() + frameOf(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
-  EXPECT_TRUE(until([&] {
+  EXPECT_TRUE(waitUntil([&] {
     for (const Frame& f : peer->frames()) {
       if (f.type == kReset && f.stream == 1) return true;
     }
     return false;
-  })) << "the server is notified";
+  })) << "the server must receive a RST_STREAM";
 }
 
-TEST_F(ChannelTest, ACancelIsAResetAndNotifiesItsEndAtOnce) {
-  const auto started = call();
-  ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
+// A response that arrives after cancel() must be ignored; onEnd must not be called again.
+TEST_F(ChannelTest, CancelResetsStreamAndCallsOnEndAtOnce) {
+  const auto started = startCall();
+  ASSERT_TRUE(
+      waitUntil([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
   started->cancel();
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kCancelled);
-  EXPECT_TRUE(until([&] {
+  EXPECT_TRUE(waitUntil([&] {
     for (const Frame& f : peer->frames()) {
       if (f.type == kReset && f.stream == 1) return f.payload == number(http2::kCancel, 4);
     }
     return false;
   }));
-  peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame("late")) + trailers("0"));
+  peer->write(frameOf(kSettings, 0, 0, "") + responseHeaders() + frameOf(kData, 0, 1, frame("late")) +
+              trailers("0"));
   for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   EXPECT_EQ(ends.size(), 1u);
 }
 
-TEST_F(ChannelTest, AFrameForAnEndedStreamIsReported) {
+TEST_F(ChannelTest, ReportsFrameForEndedStream) {
   int stray = 0;
   channel->onStrayFrame = [&](http2::StreamId) { ++stray; };
-  answered(head() + frameOf(kData, 0, 1, frame("world")) + trailers("0") + trailers("13"));
-  EXPECT_TRUE(until([&] { return stray > 0; }));
-  EXPECT_EQ(ends.size(), 1u) << "the first answer stays the only one";
+  endAfterResponse(responseHeaders() + frameOf(kData, 0, 1, frame("world")) + trailers("0") + trailers("13"));
+  EXPECT_TRUE(waitUntil([&] { return stray > 0; }));
+  EXPECT_EQ(ends.size(), 1u) << "onEnd must not be called again";
 }
 
-TEST_F(ChannelTest, APausedCallClosesItsWindow) {
-  const auto started = call();
+// Otherwise a server could send without limit while the reader is paused.
+TEST_F(ChannelTest, PausedCallSendsNoWindowUpdate) {
+  const auto started = startCall();
   started->pause(true);
-  ASSERT_TRUE(until([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
-  peer->write(frameOf(kSettings, 0, 0, "") + head() + frameOf(kData, 0, 1, frame(std::string(10000, 'x'))));
+  ASSERT_TRUE(
+      waitUntil([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
+  peer->write(frameOf(kSettings, 0, 0, "") + responseHeaders() +
+              frameOf(kData, 0, 1, frame(std::string(10000, 'x'))));
   for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
-  const auto windowOfStream = [&] {
-    std::size_t opened = 0;
-    for (const Frame& f : peer->frames()) opened += f.type == 8 && f.stream == 1;
-    return opened;
+  const auto windowUpdates = [&] {
+    std::size_t count = 0;  // of WINDOW_UPDATE frames
+    for (const Frame& f : peer->frames()) count += f.type == 8 && f.stream == 1;
+    return count;
   };
-  EXPECT_EQ(windowOfStream(), 0u);
+  EXPECT_EQ(windowUpdates(), 0u);
   started->pause(false);
   EXPECT_EQ(messages.size(), 1u);
   started->cancel();
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -1,5 +1,4 @@
-// The wire from outside: raw sockets that send frames of HTTP/2 byte by byte, good and bad, to a
-// grpc::Server.
+// Tests grpc::Server at the level of bytes: raw sockets send valid and invalid HTTP/2 frames.
 #include <nghttp2/nghttp2.h>
 
 #include "grpc/server.h"
@@ -15,7 +14,7 @@
   FrameTest() : server(loop, {}, options()) {
     server.handle("/test.Echo/Say",
                   [this](const std::shared_ptr<ServerCall>& call, std::string_view message) {
-                    said.emplace_back(message);
+                    receivedMessages.emplace_back(message);
                     call->send(message);
                     call->finish({});
                   });
@@ -30,23 +29,23 @@
   }
 
   template <class Done>
-  bool until(const Done& done) {
+  bool waitUntil(const Done& done) {
     return runUntil(loop, done);
   }
 
-  // Sends one request on a new connection. Returns the status in its response's trailers.
-  std::optional<Code> answer(const std::string& path, const std::string& body,
-                             const http2::Headers& more = {}) {
+  // Sends one request, with the connection preface. Returns the status in the response's trailers.
+  std::optional<Code> statusOfRequest(const std::string& path, const std::string& body,
+                                      const http2::Headers& extraHeaders = {}) {
     http2::Headers headers = requestHeaders(path);
-    headers.insert(headers.end(), more.begin(), more.end());
+    headers.insert(headers.end(), extraHeaders.begin(), extraHeaders.end());
     raw->write(kPreface + request(1, body, headers));
     return statusOn(1);
   }
 
-  // The status in the trailers of a stream, once they have arrived.
+  // Waits for the trailers of a stream and returns their status.
   std::optional<Code> statusOn(std::uint32_t stream) {
     std::optional<Code> code;
-    until([&] {
+    waitUntil([&] {
       for (const Frame& f : raw->frames()) {
         if (f.stream != stream || f.type != kHeaders || (f.flags & kEndStream) == 0) continue;
         code = decodeStatus();
@@ -59,20 +58,20 @@
   // Decodes the header blocks received so far, in order: each connection here has one response.
   std::optional<Code> decodeStatus();
 
-  // From now on the handler keeps its call and does not answer.
+  // Replaces the handler by one that stores the call and does not respond.
   void keepCallsOpen() {
     server.handle("/test.Echo/Say", [this](const std::shared_ptr<ServerCall>& call, std::string_view) {
-      received = call;
+      openCall = call;
       call->onClientDisconnected = [this] { cancelled = true; };
     });
   }
 
   net::Loop loop;
-  std::shared_ptr<ServerCall> received;  // after keepCallsOpen()
+  std::shared_ptr<ServerCall> openCall;  // after keepCallsOpen()
   bool cancelled = false;
   Server server;
   std::unique_ptr<Raw> raw;
-  std::vector<std::string> said;  // messages that the handler received
+  std::vector<std::string> receivedMessages;  // by the handler
 };
 
 std::optional<Code> FrameTest::decodeStatus() {
@@ -101,37 +100,43 @@
   return code;
 }
 
-TEST_F(FrameTest, AnswersAGoodCall) {
-  EXPECT_EQ(answer("/test.Echo/Say", frame("hello")), Code::kOk);
-  EXPECT_EQ(said, std::vector<std::string>{"hello"});
+TEST_F(FrameTest, RespondsToValidCall) {
+  EXPECT_EQ(statusOfRequest("/test.Echo/Say", frame("hello")), Code::kOk);
+  EXPECT_EQ(receivedMessages, std::vector<std::string>{"hello"});
 }
 
-TEST_F(FrameTest, TakesOneByteAtATime) {
+// Guards against a parser that expects whole frames in one read.
+TEST_F(FrameTest, AcceptsRequestSentByteByByte) {
   for (const char c : kPreface + request(1, frame("slowly"))) {
     raw->write(std::string(1, c));
     loop.runOnce(Duration(0));
   }
   EXPECT_EQ(statusOn(1), Code::kOk);
-  EXPECT_EQ(said, std::vector<std::string>{"slowly"});
+  EXPECT_EQ(receivedMessages, std::vector<std::string>{"slowly"});
 }
 
-TEST_F(FrameTest, RejectsProtocolErrorsByStatus) {
+// A gRPC protocol error must end the call with its status code and not reach the handler.
+TEST_F(FrameTest, RejectsProtocolErrorsWithStatus) {
   struct Case {
     const char* name;
     std::string path, body;
-    http2::Headers more;
+    http2::Headers extraHeaders;
     Code code;
   };
   const Case cases[] = {
       {"unknown method", "/test.Echo/Sing", frame("x"), {}, Code::kUnimplemented},
       {"unknown service", "/other.Echo/Say", frame("x"), {}, Code::kUnimplemented},
       {"compression", "/test.Echo/Say", frame("x"), {{"grpc-encoding", "gzip"}}, Code::kUnimplemented},
-      {"time-out", "/test.Echo/Say", frame("x"), {{"grpc-timeout", "5 seconds"}}, Code::kInvalidArgument},
+      {"malformed time-out",
+       "/test.Echo/Say",
+       frame("x"),
+       {{"grpc-timeout", "5 seconds"}},
+       Code::kInvalidArgument},
       {"no message", "/test.Echo/Say", "", {}, Code::kUnimplemented},
       {"two messages", "/test.Echo/Say", frame("x") + frame("y"), {}, Code::kUnimplemented},
       {"trailing garbage", "/test.Echo/Say", frame("x") + "zz", {}, Code::kInternal},
-      {"half a message", "/test.Echo/Say", frame("hello").substr(0, 7), {}, Code::kInternal},
-      {"oversized", "/test.Echo/Say", frame(std::string(1001, 'x')), {}, Code::kResourceExhausted},
+      {"incomplete message", "/test.Echo/Say", frame("hello").substr(0, 7), {}, Code::kInternal},
+      {"oversized message", "/test.Echo/Say", frame(std::string(1001, 'x')), {}, Code::kResourceExhausted},
       {"compressed flag", "/test.Echo/Say", std::string("\1\0\0\0\1x", 6), {}, Code::kInternal},
       {"large metadata",
        "/test.Echo/Say",
@@ -141,27 +146,28 @@
   };
   for (const Case& c : cases) {
     raw = Raw::connectTo(server.port());
-    EXPECT_EQ(answer(c.path, c.body, c.more), c.code) << c.name;
+    EXPECT_EQ(statusOfRequest(c.path, c.body, c.extraHeaders), c.code) << c.name;
   }
-  EXPECT_TRUE(said.empty()) << "none of them reached the handler";
+  EXPECT_TRUE(receivedMessages.empty()) << "invalid requests must not reach the handler";
 }
 
-TEST_F(FrameTest, OtherHttpIsAnsweredAsHttp) {
+// Requests that are not gRPC (here: text/html) get an HTTP response and do not reach the handler.
+TEST_F(FrameTest, RespondsToOtherContentTypeWithHttpError) {
   http2::Headers headers = requestHeaders();
   headers.back().value = "text/html";
   raw->write(kPreface + request(1, frame("x"), headers));
-  EXPECT_TRUE(until([&] {
+  EXPECT_TRUE(waitUntil([&] {
     for (const Frame& f : raw->frames()) {
       if (f.stream == 1 && f.type == kHeaders) return true;
     }
     return false;
   }));
-  EXPECT_TRUE(said.empty());
+  EXPECT_TRUE(receivedMessages.empty());
 }
 
-TEST_F(FrameTest, AnswersPings) {
+TEST_F(FrameTest, AcknowledgesPings) {
   raw->write(kPreface + frameOf(kPing, 0, 0, "12345678"));
-  EXPECT_TRUE(until([&] {
+  EXPECT_TRUE(waitUntil([&] {
     for (const Frame& f : raw->frames()) {
       if (f.type == kPing && f.flags == kAck && f.payload == "12345678") return true;
     }
@@ -169,61 +175,65 @@
   }));
 }
 
-TEST_F(FrameTest, ClosesOnWhatIsNoHttp2AndServesOthers) {
+// Invalid HTTP/2 must end its own connection only; the server goes on to serve new ones.
+TEST_F(FrameTest, ClosesConnectionOnInvalidHttp2AndServesOthers) {
   const std::string broken[] = {
       "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
       std::string(100, '\xff'),
-      kPreface + frameOf(kHeaders, kEndHeaders, 2, fields(requestHeaders())),  // an even stream
+      kPreface + frameOf(kHeaders, kEndHeaders, 2, fields(requestHeaders())),  // even stream number
       kPreface + frameOf(kData, 0, 1, "data before headers"),
-      kPreface + frameOf(kHeaders, kEndHeaders, 1, std::string(20, '\xff')),  // broken HPACK
-      kPreface + frameOf(kSettings, 0, 0, "12345"),                           // a wrong size
-      kPreface + frameOf(kHeaders, 0, 1, "") +
-          frameOf(kPing, 0, 0, "12345678"),  // a block that is interrupted
+      kPreface + frameOf(kHeaders, kEndHeaders, 1, std::string(20, '\xff')),      // broken HPACK
+      kPreface + frameOf(kSettings, 0, 0, "12345"),                               // wrong length
+      kPreface + frameOf(kHeaders, 0, 1, "") + frameOf(kPing, 0, 0, "12345678"),  // interrupted header block
   };
   for (const std::string& bytes : broken) {
     raw = Raw::connectTo(server.port());
     raw->write(bytes);
-    EXPECT_TRUE(until([&] { return raw->closed(); })) << bytes.substr(0, 40);
+    EXPECT_TRUE(waitUntil([&] { return raw->closed(); })) << bytes.substr(0, 40);
   }
   raw = Raw::connectTo(server.port());
-  EXPECT_EQ(answer("/test.Echo/Say", frame("still here")), Code::kOk);
+  EXPECT_EQ(statusOfRequest("/test.Echo/Say", frame("still here")), Code::kOk);
 }
 
-TEST_F(FrameTest, HeaderFloodsAndHpackBombsEndTheConnection) {
-  // One entry of 3,900 bytes in the dynamic table, then named a thousand times.
+// Guards against unlimited memory for headers: a small block that decompresses to a large one, and a header
+// block that is continued without an end.
+TEST_F(FrameTest, ClosesConnectionOnHpackBombAndOnEndlessHeaders) {
+  // An entry of 3,900 bytes in the dynamic table, referenced a thousand times.
   std::string bomb = "\x40" + fields({{"bomb", std::string(3900, 'b')}}).substr(1);
   bomb += std::string(1000, '\xbe');
   raw->write(kPreface + frameOf(kHeaders, 0, 1, bomb));
-  EXPECT_TRUE(until([&] { return raw->closed(); }));
-  // A block without an end.
+  EXPECT_TRUE(waitUntil([&] { return raw->closed(); }));
+  // A header block without an end.
   raw = Raw::connectTo(server.port());
   raw->write(kPreface + frameOf(kHeaders, 0, 1, fields(requestHeaders())));
   for (int i = 0; i < 100 && !raw->closed(); ++i) {
     raw->write(frameOf(kContinuation, 0, 1, fields({{"more", std::string(1000, 'm')}})));
     loop.runOnce(Duration(0));
   }
-  EXPECT_TRUE(until([&] { return raw->closed(); }));
-  EXPECT_TRUE(until([&] { return server.connectionCount() == 0; }));
+  EXPECT_TRUE(waitUntil([&] { return raw->closed(); }));
+  EXPECT_TRUE(waitUntil([&] { return server.connectionCount() == 0; }));
 }
 
-TEST_F(FrameTest, AResetNotifiesTheHandler) {
+// A client cancels by RST_STREAM. Later send() and finish() calls of the handler must do nothing.
+TEST_F(FrameTest, NotifiesHandlerWhenClientResetsStream) {
   keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
-  ASSERT_TRUE(until([&] { return received != nullptr; }));
+  ASSERT_TRUE(waitUntil([&] { return openCall != nullptr; }));
   raw->write(frameOf(kReset, 0, 1, number(http2::kCancel, 4)));
-  EXPECT_TRUE(until([&] { return cancelled; }));
-  EXPECT_FALSE(received->isOpen());
-  received->send("into the void");
-  received->finish({});
+  EXPECT_TRUE(waitUntil([&] { return cancelled; }));
+  EXPECT_FALSE(openCall->isOpen());
+  openCall->send("into the void");
+  openCall->finish({});
 }
 
-TEST_F(FrameTest, APeerThatVanishesWithoutAFinIsFoundByItsReset) {
+// A client that crashes with unread data sends a TCP RST without a FIN; its calls must still end.
+TEST_F(FrameTest, NotifiesHandlerWhenPeerSendsTcpReset) {
   keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
-  ASSERT_TRUE(until([&] { return received != nullptr; }));
-  raw.reset();  // unread bytes are there: the kernel sends a RST, no FIN
-  received->send("hello");
-  EXPECT_TRUE(until([&] { return cancelled; }));
+  ASSERT_TRUE(waitUntil([&] { return openCall != nullptr; }));
+  raw.reset();  // with unread bytes, so the kernel sends a RST, no FIN
+  openCall->send("hello");
+  EXPECT_TRUE(waitUntil([&] { return cancelled; }));
 }
 
 }  // namespace
--- a/tests/independent_test.cpp
+++ b/tests/independent_test.cpp
@@ -1,4 +1,4 @@
-// The node's wire as clients see it that this project did not write: the gRPC C++ library.
+// Tests a node with clients of the gRPC C++ library, an independent implementation of the protocol.
 #include <grpcpp/grpcpp.h>
 #include <gtest/gtest.h>
 
@@ -20,13 +20,13 @@
 namespace lab = gannetcourse::lab;
 namespace v1 = gannetcourse::v1;
 
-// A prefill engine, a decode engine and a registry on a thread of their own, and a node in process.
+// Owns a prefill engine, a decode engine and a registry that run on one thread, and a node in this process.
 class TestService {
  public:
   TestService() {
-    std::promise<std::string> up;
-    auto address = up.get_future();
-    thread_ = std::thread([this, &up] { run(up); });
+    std::promise<std::string> registryAddress;
+    auto address = registryAddress.get_future();
+    thread_ = std::thread([this, &registryAddress] { run(registryAddress); });
     const std::string registry = address.get();
     lab::Scenario scenario;
     scenario.zones = {"north"};
@@ -49,7 +49,7 @@
   std::atomic<std::size_t> openCalls{0};
 
  private:
-  void run(std::promise<std::string>& up) {
+  void run(std::promise<std::string>& registryAddress) {
     gannetcourse::net::Loop loop;
     lab::AuditRules rules;
     rules.classes.resize(1);
@@ -67,16 +67,16 @@
     lab::FakeRegistry registry(testbed);
     registry.set(prefillEngine, v1::EngineEntry::SERVING);
     registry.set(decodeEngine, v1::EngineEntry::SERVING);
-    up.set_value(registry.address());
-    double last = testbed.now();
+    registryAddress.set_value(registry.address());
+    double lastStep = testbed.now();
     while (!stop_) {
       loop.runOnce(Duration(0.005));
       const double now = testbed.now();
       decodeEngine.model().speed = 0.002 / tokenTime;
-      prefillEngine.step(now, now - last);
-      decodeEngine.step(now, now - last);
+      prefillEngine.step(now, now - lastStep);
+      decodeEngine.step(now, now - lastStep);
       openCalls = prefillEngine.openCalls() + decodeEngine.openCalls();
-      last = now;
+      lastStep = now;
     }
   }
 
@@ -109,7 +109,7 @@
                          std::chrono::milliseconds(static_cast<int>(seconds * 1000)));
   }
 
-  // Reads a response to its end and checks its tokens.
+  // Sends a request, reads its response to the end and checks the tokens.
   grpc::Status readResponse(std::uint64_t id, grpc::ClientContext& context, std::uint32_t output = 30) {
     auto stream = chat->Generate(&context, request(id, output));
     v1::GenerateToken token;
@@ -131,7 +131,7 @@
   std::unique_ptr<v1::Chat::Stub> chat;
 };
 
-TEST_F(IndependentTest, StreamsACompleteResponse) {
+TEST_F(IndependentTest, StreamsCompleteResponse) {
   grpc::ClientContext context;
   setDeadline(context, 20);
   context.AddMetadata("x-customer", "kelaniya");
@@ -144,7 +144,7 @@
   EXPECT_EQ(std::string(verdict->second.data(), verdict->second.size()), "served");
 }
 
-TEST_F(IndependentTest, AnswersUnaryCalls) {
+TEST_F(IndependentTest, RespondsToUnaryCalls) {
   const auto health = grpc::health::v1::Health::NewStub(channel);
   grpc::health::v1::HealthCheckResponse response;
   for (int i = 0; i < 200 && response.status() != grpc::health::v1::HealthCheckResponse::SERVING; ++i) {
@@ -159,7 +159,7 @@
   EXPECT_EQ(health->Check(&context, unknown, &response).error_code(), grpc::StatusCode::NOT_FOUND);
 }
 
-TEST_F(IndependentTest, ManyStreamsOnOneConnection) {
+TEST_F(IndependentTest, ServesManyStreamsOnOneConnection) {
   std::vector<std::thread> clients;
   std::atomic<int> served{0};
   for (std::uint64_t c = 0; c < 8; ++c) {
@@ -175,7 +175,7 @@
   EXPECT_EQ(served, 80);
 }
 
-TEST_F(IndependentTest, ACancelReachesTheEngine) {
+TEST_F(IndependentTest, CancelEndsCallAtEngine) {
   service.tokenTime = 0.2;
   grpc::ClientContext context;
   setDeadline(context, 60);
@@ -192,7 +192,7 @@
   EXPECT_EQ(service.openCalls, 0u);
 }
 
-TEST_F(IndependentTest, TheNodeEnforcesTheDeadline) {
+TEST_F(IndependentTest, CallEndsAtDeadline) {
   service.tokenTime = 1;
   grpc::ClientContext context;
   setDeadline(context, 3);
@@ -203,7 +203,7 @@
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::DEADLINE_EXCEEDED);
 }
 
-TEST_F(IndependentTest, InvalidCallsHaveTheirStatus) {
+TEST_F(IndependentTest, RejectsInvalidCallWithStatus) {
   const auto statusOf = [&](const v1::GenerateRequest& message, bool deadline = true) {
     grpc::ClientContext context;
     if (deadline) setDeadline(context, 10);
@@ -218,14 +218,14 @@
   const grpc::Status unknown = statusOf(message);
   EXPECT_EQ(unknown.error_code(), grpc::StatusCode::INVALID_ARGUMENT);
   EXPECT_EQ(unknown.error_message(), "request_class: 'caf\xc3\xa9' is not a class of this node")
-      << "percent-encoded";
+      << "the message must be percent-encoded on the wire";
   EXPECT_EQ(statusOf(request(16), false).error_code(), grpc::StatusCode::INVALID_ARGUMENT);
   message = request(16);
   message.set_prompt(std::string(5 << 20, 'x'));
   EXPECT_EQ(statusOf(message).error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
-TEST_F(IndependentTest, ALargeMessageGoesThrough) {
+TEST_F(IndependentTest, AcceptsLargeMessage) {
   grpc::ClientContext context;
   setDeadline(context, 30);
   v1::GenerateRequest message = request(16);
@@ -239,7 +239,7 @@
   EXPECT_EQ(tokens, lab::answerLength(16, 30));
 }
 
-TEST_F(IndependentTest, UnknownMethodsAndCompressionAreUnimplemented) {
+TEST_F(IndependentTest, RejectsCompressedRequestAsUnimplemented) {
   const auto stub = v1::Chat::NewStub(channel);
   grpc::ClientContext context;
   setDeadline(context, 10);
@@ -253,7 +253,8 @@
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::UNIMPLEMENTED);
 }
 
-TEST_F(IndependentTest, KeepalivePingsAreAnswered) {
+// Guards against missing PING acknowledgements: the client library would close the connection.
+TEST_F(IndependentTest, KeepsConnectionAliveWithKeepalivePings) {
   grpc::ChannelArguments arguments;
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, 1000);
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 10000);
