--- a/soak/client.py
+++ b/soak/client.py
@@ -1,5 +1,5 @@
-"""Stand-in clients in one process: good ones, some that disconnect early or write slowly, and some that stop in the
-middle of a request and stay. Each records in the log what it sent and what came back.
+"""Simulated clients in one process. Most complete their requests; some disconnect early, write slowly, or send part
+of a request and keep the connection open. Each request and its outcome are logged.
 
 usage: client.py FOLDER NAME NODES-AS-JSON SECONDS SEED BUDGETS-MS-AS-JSON
 """
@@ -13,8 +13,8 @@
 from wire import DONE, EventLog
 
 CLASSES = [("chat", 0.6), ("keyed", 0.2), ("pay", 0.2)]
-STREAMS = 8  # requests at once in this process
-AFTER_DEADLINE = 3.0  # seconds that a client waits beyond its time, to see whether a response comes at all
+CONCURRENT_REQUESTS = 8  # in flight at once in this process
+WAIT_AFTER_DEADLINE = 3.0  # seconds that a client waits after its deadline, to tell a late response from a missing one
 
 
 class Client:
@@ -26,7 +26,7 @@
         self.budgets = budgets
         self.count = 0
 
-    def request(self, request_id, cls, budget):
+    def encode_request(self, request_id, cls, budget):
         body = b'{"messages":[]}'
         return (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id}\r\nX-Call-Class: {cls}\r\n"
@@ -36,9 +36,11 @@
         ).encode() + body
 
     async def run(self):
-        await asyncio.gather(*(self.lane() for _ in range(STREAMS)), self.halves())
+        await asyncio.gather(
+            *(self.send_requests() for _ in range(CONCURRENT_REQUESTS)), self.send_incomplete_requests()
+        )
 
-    async def lane(self):
+    async def send_requests(self):
         connection, node = None, None
         while time.monotonic() < self.end:
             await asyncio.sleep(self.random.uniform(0, 0.2))
@@ -56,15 +58,15 @@
                 connection = None
 
     async def send_request(self, node, connection, fresh):
-        """One request; True where its connection may be used again."""
+        """Sends one request. Returns True if its connection can be reused."""
         reader, writer = connection
         self.count += 1
         request_id = f"{self.name}-{self.count}"
         cls = self.random.choices([c for c, _ in CLASSES], [w for _, w in CLASSES])[0]
         budget = self.random.choice(self.budgets)
-        data = self.request(request_id, cls, budget)
+        data = self.encode_request(request_id, cls, budget)
         try:
-            if self.random.random() < 0.1:  # in pieces
+            if self.random.random() < 0.1:  # send it in two pieces
                 cut = self.random.randrange(1, len(data))
                 writer.write(data[:cut])
                 await asyncio.sleep(self.random.uniform(0, 0.1))
@@ -75,39 +77,39 @@
             return False
         sent = time.monotonic()
         self.log.write("requested", id=request_id, node=node, cls=cls, budget=budget, fresh=fresh)
-        patience = budget / 1000 + AFTER_DEADLINE
+        timeout = budget / 1000 + WAIT_AFTER_DEADLINE
         if self.random.random() < 0.1:
-            patience = self.random.uniform(0, 0.3)
+            timeout = self.random.uniform(0, 0.3)
         try:
-            return await asyncio.wait_for(self.read_response(request_id, reader), patience)
+            return await asyncio.wait_for(self.read_response(request_id, reader), timeout)
         except asyncio.TimeoutError:
             writer.transport.abort()
             self.log.write("disconnected", id=request_id, after=time.monotonic() - sent)
-        except (asyncio.IncompleteReadError, ConnectionError, ValueError) as fault:
-            self.log.write("broken_off", id=request_id, why=type(fault).__name__)
+        except (asyncio.IncompleteReadError, ConnectionError, ValueError) as error:
+            self.log.write("broken_off", id=request_id, why=type(error).__name__)
         return False
 
     async def read_response(self, request_id, reader):
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         status = int(head.split(" ", 2)[1])
-        last = "connection: close" in head.lower()
+        closes = "connection: close" in head.lower()
         if "chunked" not in head.lower():
             length = int(head.lower().split("content-length:")[1].split("\r\n")[0])
             await reader.readexactly(length)
             self.log.write("responded", id=request_id, status=status)
-            return not last
+            return not closes
         self.log.write("started", id=request_id)
         body = b""
         while (size := int(await reader.readline(), 16)) > 0:
             body += await reader.readexactly(size)
             await reader.readexactly(2)
         await reader.readexactly(2)
-        self.log.write("responded", id=request_id, status=status, right=self.is_right(request_id, body))
-        return not last
+        self.log.write("responded", id=request_id, status=status, right=self.is_complete_stream(request_id, body))
+        return not closes
 
     @staticmethod
-    def is_right(request_id, body):
-        """Whether the stream is one engine's for this request, from its first event to its last."""
+    def is_complete_stream(request_id, body):
+        """Whether the stream has all events of one engine for this request, in order and up to the end marker."""
         events = [e for e in body.split(b"\n\n") if e]
         if not events or events[-1] + b"\n\n" != DONE:
             return False
@@ -116,18 +118,18 @@
             e["id"] == request_id for e in events_sent
         )
 
-    async def halves(self):
-        """Clients that stop in the middle of a request and stay."""
+    async def send_incomplete_requests(self):
+        """Sends part of a request and measures how long the node keeps the connection open, up to 6 s."""
         while time.monotonic() < self.end:
             await asyncio.sleep(self.random.uniform(0.3, 1))
             node = self.random.choice(list(self.nodes))
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.nodes[node])
-            except OSError:  # its process is down: nobody waits for anything
+            except OSError:  # the node is down: there is no connection to measure
                 continue
             stopped = time.monotonic()
             try:
-                data = self.request("half", "chat", 1000)
+                data = self.encode_request("half", "chat", 1000)
                 writer.write(data[: self.random.randrange(1, len(data))])
                 await asyncio.wait_for(reader.read(), 6)
             except (OSError, asyncio.TimeoutError):
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,8 +1,9 @@
-"""A stand-in discovery: one port a node, so that it knows whom it notifies; steered by lines on its standard input.
+"""A simulated discovery service. Each node has its own port, so that the log names the node that was notified.
+Commands are read from standard input, one JSON object per line.
 
 usage: discovery.py FOLDER PORTS-AND-ADDRESSES-AS-JSON
 
-Lines: {"do": "entry", "engine": NAME, "status": STATUS, "since_ms": N} | {"do": "silent", "for": SECONDS} |
+Commands: {"do": "entry", "engine": NAME, "status": STATUS, "since_ms": N} | {"do": "silent", "for": SECONDS} |
 {"do": "reset"} | {"do": "down", "for": SECONDS}
 """
 
@@ -13,7 +14,7 @@
 
 from wire import STREAM_HEAD, EventLog, chunk, read_message
 
-KEEPALIVE_INTERVAL = 0.5  # seconds between two empty lines
+KEEPALIVE_INTERVAL = 0.5  # seconds; a keepalive is an empty line
 
 
 class Discovery:
@@ -23,10 +24,10 @@
         self.entries = plan["entries"]
         self.index = 1
         self.watches = {}  # writer -> node
-        self.pending = set()  # watches that were opened while discovery was silent
+        self.pending = set()  # watches that still have to receive their first snapshot
         self.silent_until = self.down_until = 0
 
-    def list_for(self, node, names, full):
+    def encode_engine_list(self, node, names, full):
         addresses = self.plan["addresses"][node]
         endpoints = [{**self.entries[name], "name": name, "address": addresses[name]} for name in names]
         return json.dumps({"index": self.index, "snapshot": full, "endpoints": endpoints}).encode() + b"\n"
@@ -57,7 +58,7 @@
 
     def notify(self, writer, node, names, full):
         names = [name for name in names if not (full and self.entries[name]["status"] == "removed")]
-        writer.write(chunk(self.list_for(node, names, full)))
+        writer.write(chunk(self.encode_engine_list(node, names, full)))
         for name in names:
             self.log.write("notified", node=node, engine=name, status=self.entries[name]["status"])
 
@@ -69,7 +70,7 @@
             for writer, node in list(self.watches.items()):
                 if writer not in self.pending:
                     self.notify(writer, node, [command["engine"]], False)
-        elif command["do"] == "silent":  # the open ones stay silent for good: they have to be opened anew
+        elif command["do"] == "silent":  # open watches get nothing any more; nodes have to open new ones
             self.watches.clear()
             self.pending.clear()
             self.silent_until = now + command["for"]
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -1,5 +1,5 @@
-"""A stand-in engine: a prefill or decode engine on one port, with answers that fail in the ways that the protocol
-names.
+"""A simulated prefill or decode engine on one port. A share of its responses fails in the ways that the protocol
+describes.
 
 usage: engine.py FOLDER NAME ROLE PORT SEED
 """
@@ -10,7 +10,7 @@
 
 from wire import DONE, LAST_CHUNK, STREAM_HEAD, EventLog, chunk, event, read_message
 
-# Shares of the requests that end in some other way than well.
+# The shares of the attempts with each kind of fault; all others succeed.
 FAULTS = [
     ("rejected", 0.03),
     ("error", 0.03),
@@ -23,7 +23,7 @@
 ]
 REJECTED = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-LEASES = "/kv/leases/"
+LEASE_PATH = "/kv/leases/"
 RESERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 RELEASED = b"HTTP/1.1 204 No Content\r\n\r\n"
 
@@ -35,9 +35,9 @@
 
     def draw_fault(self):
         draw = self.random.random()
-        for kind, share in FAULTS:
+        for fault, share in FAULTS:
             if draw < share:
-                return kind
+                return fault
             draw -= share
         return "none"
 
@@ -50,18 +50,18 @@
                     self.log.write("released", id=target.rsplit("/", 1)[1])
                     writer.write(RELEASED)
                     continue
-                if target.startswith(LEASES):
+                if target.startswith(LEASE_PATH):
                     self.log.write("reserved", id=target.rsplit("/", 1)[1])
                     writer.write(RESERVED)
                     continue
-                await self.answer(request, reader, writer)
+                await self.run_attempt(request, reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.LimitOverrunError, ValueError):
             pass
         finally:
             writer.close()
 
-    async def answer(self, request, reader, writer):
-        """Answers one request; its connection's end before the answer ends the attempt."""
+    async def run_attempt(self, request, reader, writer):
+        """Runs one attempt. It is cancelled if the connection is closed before the response is complete."""
         request_id = request.fields["x-call-id"]
         fault = self.draw_fault()
         self.log.write(
@@ -73,23 +73,23 @@
             fault=fault,
         )
         disconnected = asyncio.create_task(reader.read(1))
-        work = asyncio.create_task(self.work(request_id, fault, writer))
-        await asyncio.wait({disconnected, work}, return_when=asyncio.FIRST_COMPLETED)
-        complete = work.done() and not work.cancelled() and work.exception() is None and work.result()
+        response = asyncio.create_task(self.respond(request_id, fault, writer))
+        await asyncio.wait({disconnected, response}, return_when=asyncio.FIRST_COMPLETED)
+        complete = response.done() and not response.cancelled() and response.exception() is None and response.result()
         self.log.write("ended", id=request_id, role=self.role, complete=bool(complete))
-        work.cancel()
+        response.cancel()
         if not complete:
             disconnected.cancel()
             raise ConnectionError
-        # A byte that came behind the request is of the next one, which the protocol rules out.
+        # Any byte read here would belong to a pipelined request, which the protocol does not allow.
         disconnected.cancel()
         try:
             await disconnected
         except asyncio.CancelledError:
             pass
 
-    async def work(self, request_id, fault, writer):
-        """True where the connection may carry on."""
+    async def respond(self, request_id, fault, writer):
+        """Writes the response. Returns True if the connection can be reused."""
         await asyncio.sleep(self.random.uniform(0.005, 0.08))
         if fault == "rejected":
             self.log.write("never_ran", id=request_id)
--- a/soak/fault_shim.cpp
+++ b/soak/fault_shim.cpp
@@ -21,7 +21,7 @@
 
 constexpr double kMinStallInterval = 0.3;  // seconds
 
-// The C library's own function of this name.
+// The C library's implementation of a replaced function.
 template <class Function>
 Function original(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
@@ -35,8 +35,8 @@
   return static_cast<std::uint32_t>(state % kAlways);
 }
 
-// Whether this call is to fail; errno is set then.
-bool fails(FaultyCall call) {
+// Decides at random, by the fault plan, whether this call fails. If so, sets errno and returns true.
+bool injectFailure(FaultyCall call) {
   FaultRule& rule = faultPlan().rules[static_cast<std::uint32_t>(call)];
   if (rule.perMille == 0 || rule.remaining == 0 || drawPerMille() >= rule.perMille) return false;
   if (rule.remaining != kUnlimited) --rule.remaining;
@@ -50,8 +50,8 @@
   return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-// How many of the bytes a call on a socket is to handle.
-std::size_t partOf(std::size_t bytes) {
+// The number of bytes that a call on a socket transfers: all, or a random part of them.
+std::size_t transferSize(std::size_t bytes) {
   const bool part = bytes > 1 && drawPerMille() < faultPlan().shortPerMille;
   return part ? 1 + drawPerMille() % (bytes - 1) : bytes;
 }
@@ -62,14 +62,15 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// Not in a row: several in one iteration of the loop would add up to more than its requirements allow for.
-void stall() {
-  static thread_local double lastEnded = 0;
+// Delays the caller at random, by the fault plan. Stalls are spaced out: several in one iteration of the
+// event loop would exceed the delay that the requirements allow for.
+void maybeStall() {
+  static thread_local double lastStallEnd = 0;
   const FaultPlan& plan = faultPlan();
   if (plan.stallMillis == 0 || drawPerMille() >= plan.stallPerMille) return;
-  if (monotonicSeconds() - lastEnded < kMinStallInterval) return;
+  if (monotonicSeconds() - lastStallEnd < kMinStallInterval) return;
   usleep(plan.stallMillis * 1000);
-  lastEnded = monotonicSeconds();
+  lastStallEnd = monotonicSeconds();
 }
 
 FaultPlan* sharedPlan() {
@@ -86,9 +87,9 @@
 }  // namespace
 
 FaultPlan& faultPlan() {
-  static FaultPlan own;
+  static FaultPlan processPlan;
   static FaultPlan* const kShared = sharedPlan();
-  return kShared != nullptr ? *kShared : own;
+  return kShared != nullptr ? *kShared : processPlan;
 }
 
 }  // namespace gannetcourse::soak
@@ -100,17 +101,17 @@
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
   static const auto kNext = soak::original<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  return soak::fails(FaultyCall::kAccept) ? -1 : kNext(fd, address, size, flags);
+  return soak::injectFailure(FaultyCall::kAccept) ? -1 : kNext(fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
   static const auto kNext = soak::original<int (*)(int, int, int)>("socket");
-  return soak::fails(FaultyCall::kSocket) ? -1 : kNext(domain, type, protocol);
+  return soak::injectFailure(FaultyCall::kSocket) ? -1 : kNext(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
   static const auto kNext = soak::original<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (soak::fails(FaultyCall::kConnect)) return -1;
+  if (soak::injectFailure(FaultyCall::kConnect)) return -1;
   const int result = kNext(fd, address, size);
   std::uint32_t& interrupted = soak::faultPlan().interruptedConnects;
   if (result != 0 && errno == EINPROGRESS && interrupted > 0) {
@@ -122,20 +123,20 @@
 
 int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) noexcept {
   static const auto kNext = soak::original<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation == EPOLL_CTL_ADD && soak::fails(FaultyCall::kWatch)) return -1;
+  if (operation == EPOLL_CTL_ADD && soak::injectFailure(FaultyCall::kWatch)) return -1;
   return kNext(epoll, operation, fd, event);
 }
 
 ssize_t recv(int fd, void* buffer, std::size_t size, int flags) {
   static const auto kNext = soak::original<ssize_t (*)(int, void*, std::size_t, int)>("recv");
-  return soak::fails(FaultyCall::kReceive) ? -1 : kNext(fd, buffer, soak::partOf(size), flags);
+  return soak::injectFailure(FaultyCall::kReceive) ? -1 : kNext(fd, buffer, soak::transferSize(size), flags);
 }
 
 ssize_t send(int fd, const void* buffer, std::size_t size, int flags) {
   static const auto kNext = soak::original<ssize_t (*)(int, const void*, std::size_t, int)>("send");
-  if (soak::fails(FaultyCall::kSend)) return -1;
-  soak::stall();
-  return kNext(fd, buffer, soak::partOf(size), flags);
+  if (soak::injectFailure(FaultyCall::kSend)) return -1;
+  soak::maybeStall();
+  return kNext(fd, buffer, soak::transferSize(size), flags);
 }
 
 int open(const char* path, int flags, ...) {
@@ -144,37 +145,37 @@
   va_start(more, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(more, mode_t) : 0;
   va_end(more);
-  return soak::fails(FaultyCall::kOpen) ? -1 : kNext(path, flags, mode);
+  return soak::injectFailure(FaultyCall::kOpen) ? -1 : kNext(path, flags, mode);
 }
 
 FILE* fopen(const char* path, const char* mode) {
   static const auto kNext = soak::original<FILE* (*)(const char*, const char*)>("fopen");
-  return soak::fails(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
+  return soak::injectFailure(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
 }
 
 FILE* fopen64(const char* path, const char* mode) {
   static const auto kNext = soak::original<FILE* (*)(const char*, const char*)>("fopen64");
-  return soak::fails(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
+  return soak::injectFailure(FaultyCall::kOpen) ? nullptr : kNext(path, mode);
 }
 
 ssize_t write(int fd, const void* buffer, std::size_t size) {
   static const auto kNext = soak::original<ssize_t (*)(int, const void*, std::size_t)>("write");
-  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : kNext(fd, buffer, size);
+  return soak::isFile(fd) && soak::injectFailure(FaultyCall::kWrite) ? -1 : kNext(fd, buffer, size);
 }
 
 ssize_t writev(int fd, const iovec* parts, int count) {
   static const auto kNext = soak::original<ssize_t (*)(int, const iovec*, int)>("writev");
-  return soak::isFile(fd) && soak::fails(FaultyCall::kWrite) ? -1 : kNext(fd, parts, count);
+  return soak::isFile(fd) && soak::injectFailure(FaultyCall::kWrite) ? -1 : kNext(fd, parts, count);
 }
 
 int fsync(int fd) {
   static const auto kNext = soak::original<int (*)(int)>("fsync");
-  return soak::fails(FaultyCall::kSync) ? -1 : kNext(fd);
+  return soak::injectFailure(FaultyCall::kSync) ? -1 : kNext(fd);
 }
 
 int rename(const char* from, const char* to) noexcept {
   static const auto kNext = soak::original<int (*)(const char*, const char*)>("rename");
-  return soak::fails(FaultyCall::kRename) ? -1 : kNext(from, to);
+  return soak::injectFailure(FaultyCall::kRename) ? -1 : kNext(from, to);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
--- a/soak/fault_shim.h
+++ b/soak/fault_shim.h
@@ -1,20 +1,22 @@
-// Makes system calls fail as Linux documents that they may. Linked into a test, or preloaded into a process
-// (LD_PRELOAD) whose plan is then a file that another process writes: FAULT_PLAN names it.
+// Replaces system calls with versions that fail on purpose, with errors that Linux documents for them. It is
+// linked into a test, or preloaded into a process (LD_PRELOAD). A preloaded process reads its fault plan from
+// the file that the environment variable FAULT_PLAN names; another process may change it at any time.
 #pragma once
 
 #include <cstdint>
 
 namespace gannetcourse::soak {
 
-/// One kind of call: which errno it fails with, how often, and how often at most.
+/// The faults of one system call: the errno, the share of calls that fail, and the number of failures that
+/// remain.
 struct FaultRule {
   std::int32_t error = 0;       // errno
-  std::uint32_t perMille = 0;   // share of the calls that fail; 0 = none
-  std::uint32_t remaining = 0;  // failures that are left
+  std::uint32_t perMille = 0;   // calls that fail, per 1000; 0 = none
+  std::uint32_t remaining = 0;  // failures that may still occur
   std::uint32_t failed = 0;     // failures so far
 };
 
-/// The calls that can be made to fail.
+/// The system calls that can be made to fail.
 enum class FaultyCall : std::uint32_t {
   kAccept,
   kSocket,
@@ -30,20 +32,20 @@
 };
 constexpr std::uint32_t kFaultyCalls = static_cast<std::uint32_t>(FaultyCall::kCount);
 
-/// Plain memory without pointers: it is shared between processes.
+/// All faults of one process. It is shared between processes as memory, so it contains no pointers.
 struct FaultPlan {
   FaultRule rules[kFaultyCalls];
-  std::uint32_t shortPerMille = 0;  // reads and writes of sockets that handle a part of their bytes only
-  std::uint32_t stallMillis = 0;    // the process stands still for this long before a send ...
-  std::uint32_t stallPerMille = 0;  // ... in this share of them
-  std::uint32_t interruptedConnects = 0;  // connects that go on, but say EINTR
-  std::int64_t wallClockStepMillis = 0;   // added to the wall clock
+  std::uint32_t shortPerMille = 0;  // share of recv() and send() calls that transfer only part of their bytes
+  std::uint32_t stallMillis = 0;    // delay of a stalled send() call
+  std::uint32_t stallPerMille = 0;  // share of send() calls that stall
+  std::uint32_t interruptedConnects = 0;  // connects that continue, but return EINTR
+  std::int64_t wallClockStepMillis = 0;   // added to CLOCK_REALTIME in whole seconds
 };
 
-/// The plan of this process: the file that FAULT_PLAN names, else its own memory.
+/// The fault plan of this process: the file that FAULT_PLAN names, or otherwise a plan in its own memory.
 FaultPlan& faultPlan();
 
-constexpr std::uint32_t kAlways = 1000;            ///< perMille of a call that always fails.
-constexpr std::uint32_t kUnlimited = 0xffffffffU;  ///< remaining, without a limit.
+constexpr std::uint32_t kAlways = 1000;            ///< Value of perMille: every call fails.
+constexpr std::uint32_t kUnlimited = 0xffffffffU;  ///< Value of remaining: no limit.
 
 }  // namespace gannetcourse::soak
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: what is done to nodes, engines, paths and discovery, at random by the seed."""
+"""Injects faults into nodes, engines, network paths and discovery; the seed determines which and when."""
 
 import errno
 import signal
@@ -8,100 +8,100 @@
 import paths
 import shim
 
-CROWD = 200  # connections; a node here may hold 127 of clients
-RELOADS_FROM = 1.0  # seconds after its start: "SIGHUP never comes in its first second" (the days that count now)
+CROWD_SIZE = 200  # connections; a node of the soak accepts at most 127 from clients
+MIN_UPTIME_BEFORE_RELOAD = 1.0  # seconds; the platform sends no SIGHUP in the first second after a start
 
 
 class FaultInjector:
     def __init__(self, fleet, schedule, seed):
         self.fleet, self.random, self.log = fleet, fleet.random, fleet.log
-        self.later = schedule.later
+        self.run_after = schedule.run_after
         self.clock_step = {n: 0 for n in fleet.nodes}  # milliseconds
         self.crowds = 0
         self.changed_paths = set()  # engines whose paths a fault has changed
         self.kinds = self.weighted_kinds(seed)
 
     def inject(self):
-        """Starts one fault; it ends by the schedule."""
+        """Starts one random fault and schedules its end."""
         self.random.choice(self.kinds)()
 
     def inject_mandatory(self):
-        """The faults that even a short run has to contain."""
-        plans = self.fleet.plans
+        """Schedules the faults that every run contains, however short."""
+        plans = self.fleet.fault_plans
         for plan in plans.values():
             plan.fail("receive", errno.EINTR, 300)
-        self.later(0.5, lambda: [plan.fail("receive", 0, 0) for plan in plans.values()])
-        self.later(1, self.silence_many)
-        self.later(1.3, self.terminate)
-        self.later(3, self.crowd)
+        self.run_after(0.5, lambda: [plan.fail("receive", 0, 0) for plan in plans.values()])
+        self.run_after(1, self.silence_engine_group)
+        self.run_after(1.3, self.terminate)
+        self.run_after(3, self.open_crowd)
 
     def weighted_kinds(self, seed):
-        """All kinds, and by the seed one group of them more often."""
+        """All kinds of fault; the seed selects a group of kinds that is repeated, so that they are drawn more often."""
         kinds = [
-            self.system_calls,
-            self.system_calls,
-            self.system_calls,
-            self.stall,
-            self.short_transfers,
-            self.clock,
+            self.fail_system_calls,
+            self.fail_system_calls,
+            self.fail_system_calls,
+            self.stall_sends,
+            self.shorten_transfers,
+            self.step_clock,
             self.terminate,
             self.kill_node,
             self.reload,
-            self.torn_reload,
+            self.reload_truncated_file,
             self.drain_engine,
             self.crash_engine,
             self.stop_engine,
-            self.proxy_mode,
-            self.proxy_mode,
-            self.silence_many,
-            self.watch_fault,
-            self.crowd,
+            self.disturb_path,
+            self.disturb_path,
+            self.silence_engine_group,
+            self.disturb_discovery,
+            self.open_crowd,
         ]
-        emphases = [
+        frequent_kinds = [
             [],
-            [self.silence_many, self.silence_many, self.stop_engine, self.proxy_mode],
-            [self.terminate_series, self.reload_series, self.terminate_in_silence],
-            [self.crowd, self.crowd, self.silence_many],
+            [self.silence_engine_group, self.silence_engine_group, self.stop_engine, self.disturb_path],
+            [self.terminate_series, self.reload_series, self.terminate_during_silence],
+            [self.open_crowd, self.open_crowd, self.silence_engine_group],
         ]
-        return kinds + 2 * emphases[seed % len(emphases)]
+        return kinds + 2 * frequent_kinds[seed % len(frequent_kinds)]
 
-    # ---- A node's machine ----
-    def system_calls(self):
+    # ---- System calls and clock of a node ----
+    def fail_system_calls(self):
         node = self.fleet.random_running_node()
         if node is None:
             return
         call, error, per_mille = self.random.choice(shim.FAULTS)
         length = self.random.uniform(0.05, 1.5)
         self.log.write("system_calls", node=node, call=call, error=error, length=length)
-        self.fleet.plans[node].fail(call, error, per_mille)
-        self.later(length, lambda: self.fleet.plans[node].fail(call, 0, 0))
+        self.fleet.fault_plans[node].fail(call, error, per_mille)
+        self.run_after(length, lambda: self.fleet.fault_plans[node].fail(call, 0, 0))
 
     def set_switches(self, node, **switches):
-        self.fleet.plans[node].set_switches(**switches, clock_step_ms=self.clock_step[node])
+        self.fleet.fault_plans[node].set_switches(**switches, clock_step_ms=self.clock_step[node])
 
-    def stall(self):
-        """The machine stands still before some sends."""
+    def stall_sends(self):
+        """Delays some calls of send(), as on a machine that pauses."""
         node = self.fleet.random_running_node()
         if node is not None:
             self.log.write("stall", node=node)
             self.set_switches(node, stall_ms=150, stall=20)
-            self.later(1, lambda: self.set_switches(node))
+            self.run_after(1, lambda: self.set_switches(node))
 
-    def short_transfers(self):
+    def shorten_transfers(self):
         node = self.fleet.random_running_node()
         if node is not None:
             self.set_switches(node, short=500, interrupted=5)
-            self.later(2, lambda: self.set_switches(node))
+            self.run_after(2, lambda: self.set_switches(node))
 
-    def clock(self):
-        """A step of the wall clock."""
+    def step_clock(self):
+        """Steps the wall clock of a node to 1 h behind the time, 1 h ahead of it, or back to the time."""
         node = self.fleet.random_running_node()
         if node is not None:
             self.clock_step[node] = self.random.choice([-3600000, 0, 3600000])
             self.log.write("clock", node=node, step=self.clock_step[node])
             self.set_switches(node)
 
-    # ---- A node's process ----
+    # ---- Process of a node ----
     def terminate(self):
         node = self.fleet.random_running_node()
         if node is None:
@@ -113,27 +113,27 @@
         signalled_at = time.monotonic()
 
         def check():
-            grace_left = time.monotonic() - signalled_at < self.fleet.deployment.grace
+            grace_left = time.monotonic() - signalled_at < self.fleet.deployment.shutdown_grace
             if process.poll() is None and grace_left:
-                self.later(0.02, check)
+                self.run_after(0.02, check)
             else:
                 self.fleet.end_node(node, process, signalled_at)
 
         check()
 
-    def in_series(self, fault, times):
+    def repeat_fault(self, fault, times):
         for i in range(times):
-            self.later(i * self.random.uniform(0.05, 0.5), fault)
+            self.run_after(i * self.random.uniform(0.05, 0.5), fault)
 
     def terminate_series(self):
-        self.in_series(self.terminate, 2)
+        self.repeat_fault(self.terminate, 2)
 
     def reload_series(self):
-        self.in_series(self.reload, 4)
+        self.repeat_fault(self.reload, 4)
 
-    def terminate_in_silence(self):
-        self.silence_many()
-        self.later(self.random.uniform(0.1, 0.6), self.terminate)
+    def terminate_during_silence(self):
+        self.silence_engine_group()
+        self.run_after(self.random.uniform(0.1, 0.6), self.terminate)
 
     def kill_node(self):
         node = self.fleet.random_running_node()
@@ -143,13 +143,13 @@
         self.fleet.node_process[node].kill()
         self.fleet.node_process[node].wait()
         self.fleet.node_process[node] = None
-        self.later(0.3, lambda: self.fleet.start_node(node))
+        self.run_after(0.3, lambda: self.fleet.start_node(node))
 
     def reloadable_node(self):
-        """None where the one that was drawn has only just started."""
+        """A random running node; None if it started less than MIN_UPTIME_BEFORE_RELOAD ago."""
         node = self.fleet.random_running_node()
-        young = node is not None and time.monotonic() - self.fleet.started_at[node] < RELOADS_FROM
-        return None if young else node
+        just_started = node is not None and time.monotonic() - self.fleet.started_at[node] < MIN_UPTIME_BEFORE_RELOAD
+        return None if just_started else node
 
     def reload(self):
         node = self.reloadable_node()
@@ -158,8 +158,8 @@
             self.log.write("sighup", node=node)
             self.fleet.node_process[node].send_signal(signal.SIGHUP)
 
-    def torn_reload(self):
-        """The file is still being written when the signal comes."""
+    def reload_truncated_file(self):
+        """Sends SIGHUP while the configuration file is only half written."""
         node = self.reloadable_node()
         if node is None:
             return
@@ -167,7 +167,7 @@
         complete = path.read_text(encoding="utf-8")
         path.write_text(complete[: len(complete) // 2], encoding="utf-8")
         self.fleet.node_process[node].send_signal(signal.SIGHUP)
-        self.later(0.2, lambda: path.write_text(complete, encoding="utf-8"))
+        self.run_after(0.2, lambda: path.write_text(complete, encoding="utf-8"))
 
     # ---- Engines ----
     def drain_engine(self):
@@ -176,15 +176,15 @@
             return
         engine = self.random.choice(candidates)
         self.fleet.set_engine_status(engine, self.random.choice(["draining", "removed"]))
-        self.later(3, lambda: self.fleet.set_engine_status(engine, "up", int(time.time() * 1000)))
+        self.run_after(3, lambda: self.fleet.set_engine_status(engine, "up", int(time.time() * 1000)))
 
     def crash_engine(self):
         engine = self.random.choice(list(self.fleet.roles))
         process = self.fleet.engine_process[engine]
         if process.poll() is not None:
-            return  # it is down already, and will be back
+            return  # already down; its restart is scheduled
         self.log.write("engine_down", engine=engine)
-        self.log.write("engine_continued", engine=engine)  # a stopped process is killed as well
+        self.log.write("engine_continued", engine=engine)  # SIGKILL also ends a stopped process
         process.kill()
         process.wait()
 
@@ -193,10 +193,10 @@
             status = self.fleet.entries[engine]["status"]
             self.fleet.set_engine_status(engine, status, int(time.time() * 1000))
 
-        self.later(self.random.uniform(0.2, 2), restart)
+        self.run_after(self.random.uniform(0.2, 2), restart)
 
     def stop_engine(self):
-        """Its kernel goes on taking bytes while its process stands still."""
+        """Stops an engine's process with SIGSTOP and resumes it later. The kernel still accepts data for it."""
         engine = self.random.choice(list(self.fleet.roles))
         process = self.fleet.engine_process[engine]
         self.log.write("engine_stopped", engine=engine)
@@ -207,13 +207,13 @@
                 process.send_signal(signal.SIGCONT)
             self.log.write("engine_continued", engine=engine)
 
-        self.later(self.random.uniform(0.3, 3), resume)
+        self.run_after(self.random.uniform(0.3, 3), resume)
 
     # ---- Paths between nodes, engines, discovery and clients ----
     def set_path_mode(self, engine, mode):
         self.fleet.send_command(self.fleet.proxy_of(engine), engine=engine, mode=mode)
 
-    def proxy_mode(self):
+    def disturb_path(self):
         engine = self.random.choice(list(self.fleet.roles))
         mode = self.random.choice(["reset", "slow", "hold", *paths.SILENT_MODES])
         if mode == "reset":
@@ -222,7 +222,7 @@
             self.change_paths([engine], mode, self.random.uniform(0.3, 3))
 
     def change_paths(self, engines, mode, seconds):
-        """Paths that another fault has changed already are left to it."""
+        """Sets the mode of the engines' paths, except those that another fault has changed already."""
         engines = [e for e in engines if e not in self.changed_paths]
         self.changed_paths.update(engines)
         for engine in engines:
@@ -233,38 +233,38 @@
             for engine in engines:
                 self.set_path_mode(engine, "pass")
 
-        self.later(seconds, restore)
+        self.run_after(seconds, restore)
 
-    def silence_many(self):
-        """A role, most engines or all of them fall silent together."""
-        everyone = list(self.fleet.roles)
-        decode_engines = [e for e in everyone if e.startswith("w")]
-        prefill_engines = [e for e in everyone if e.startswith("r")]
-        most = self.random.sample(everyone, len(everyone) - 1)
-        group = self.random.choice([decode_engines, prefill_engines, most, everyone])
+    def silence_engine_group(self):
+        """Silences the paths of all engines of a role, of all engines but one, or of all engines at once."""
+        all_engines = list(self.fleet.roles)
+        decode_engines = [e for e in all_engines if e.startswith("w")]
+        prefill_engines = [e for e in all_engines if e.startswith("r")]
+        most = self.random.sample(all_engines, len(all_engines) - 1)
+        group = self.random.choice([decode_engines, prefill_engines, most, all_engines])
         mode = self.random.choice(["hold", *paths.SILENT_MODES])
         self.change_paths(group, mode, self.random.uniform(0.5, 3.5))
 
-    def crowd(self):
-        """More silent connections than a node may hold."""
+    def open_crowd(self):
+        """Opens more connections than a node accepts, and sends nothing on them."""
         node = self.fleet.random_running_node()
         if node is None:
             return
         self.crowds += 1
         self.log.write("crowd", node=node)
-        crowd = []
-        for _ in range(CROWD):
+        connections = []
+        for _ in range(CROWD_SIZE):
             try:
-                crowd.append(socket.create_connection(("127.0.0.1", self.fleet.node_port[node]), 0.2))
+                connections.append(socket.create_connection(("127.0.0.1", self.fleet.node_port[node]), 0.2))
             except OSError:
                 break
 
         def close_all():
-            for connection in crowd:
+            for connection in connections:
                 connection.close()
 
-        self.later(2, close_all)
+        self.run_after(2, close_all)
 
-    def watch_fault(self):
+    def disturb_discovery(self):
         kind = self.random.choice(["silent", "reset", "down"])
         self.fleet.send_command(self.fleet.discovery, do=kind, **{"for": self.random.uniform(0.5, 2)})
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,5 +1,5 @@
-"""The processes of a soak: nodes, engines, discovery, fault proxies and clients, their ports and configuration
-files."""
+"""Starts and stops the processes of a soak (nodes, engines, discovery, fault proxies and clients), assigns their ports
+and writes the configuration files."""
 
 import json
 import os
@@ -18,12 +18,12 @@
 HERE = pathlib.Path(__file__).resolve().parent
 NODES, PREFILL_ENGINES, DECODE_ENGINES, CLIENTS, PROXIES = 5, 4, 4, 4, 2
 STARTUP_TIMEOUT = 20  # seconds
-STARTS_WITHIN = 0.5  # seconds that a process may take to handle signals
+SIGNAL_SETUP_TIME = 0.5  # seconds from its start until a process has installed its signal handlers
 
 
 def reserve_ports(count):
-    """Sockets bound to ports that the kernel chose. They never listen: while they are open, no outgoing connection
-    takes their ports, and whoever listens there may end and come back."""
+    """Binds sockets to ports that the kernel chooses. They never listen, but while they are open, no outgoing
+    connection gets one of the ports, so that a server can be restarted on the same port."""
     holders = []
     for _ in range(count):
         holder = socket.socket()
@@ -34,6 +34,8 @@
 
 
 class Fleet:
+    """All processes of one run. Owns the reserved ports, the fault plans and the engine list that discovery serves."""
+
     def __init__(self, options, folder, deployment, random, log):
         self.options, self.folder, self.deployment = options, folder, deployment
         self.random, self.log = random, log
@@ -53,7 +55,7 @@
             }
             for e in self.roles
         }
-        self.plans = {n: shim.Plan(f"{folder}/{n}.faults") for n in self.nodes}
+        self.fault_plans = {n: shim.FaultPlan(f"{folder}/{n}.faults") for n in self.nodes}
         self.node_process = {}  # None while a node is down
         self.engine_process, self.proxies, self.clients = {}, [], []
         self.started_at = {}
@@ -69,17 +71,17 @@
         self.engine_port = {e: next(ports) for e in engines}
         self.pair_port = {(n, e): next(ports) for n in self.nodes for e in engines}
 
-    # ---- Start and end ----
+    # ---- Start and stop ----
     def start(self):
         for engine in self.roles:
             self.start_engine(engine)
         self.start_discovery()
         self.start_proxies()
-        self.wait_for("up", len(self.roles) + 1 + PROXIES)
+        self.wait_for_events("up", len(self.roles) + 1 + PROXIES)
         for node in self.nodes:
             self.start_node(node)
         for node in self.nodes:
-            self.wait_ready(node)
+            self.wait_until_ready(node)
         self.start_clients()
 
     def start_discovery(self):
@@ -110,25 +112,27 @@
             stderr=open(f"{self.folder}/stand-ins.err", "a", encoding="utf-8"),
         )
 
-    def wait_for(self, event, count):
+    def wait_for_events(self, event, count):
         end = time.monotonic() + STARTUP_TIMEOUT
-        while sum(1 for e in audit.load(self.folder) if e["what"] == event) < count:
+        while sum(1 for e in audit.load_events(self.folder) if e["what"] == event) < count:
             if time.monotonic() > end:
-                raise RuntimeError(f"stand-ins did not come up: see {self.folder}/stand-ins.err")
+                raise RuntimeError(
+                    f"engines, discovery or proxies did not start in time: see {self.folder}/stand-ins.err"
+                )
             time.sleep(0.1)
 
     def stop(self):
-        everything = [
+        processes = [
             *self.node_process.values(),
             *self.engine_process.values(),
             self.discovery,
             *(process for _, process in self.proxies),
             *self.clients,
         ]
-        for process in everything:
+        for process in processes:
             if process is not None and process.poll() is None:
                 process.kill()
-        for process in everything:
+        for process in processes:
             if process is not None:
                 process.wait()
 
@@ -140,7 +144,7 @@
         )
 
     def set_engine_status(self, engine, status, since_ms=None):
-        """What discovery reports of the engine from now on."""
+        """Changes the status of an engine that discovery reports."""
         entry = self.entries[engine]
         entry["status"] = status
         entry["since_ms"] = entry["since_ms"] if since_ms is None else since_ms
@@ -165,7 +169,7 @@
         known = [
             {**self.entries[e], "name": e, "address": f"127.0.0.1:{self.pair_port[node, e]}"} for e in self.entries
         ]
-        file = {
+        configuration = {
             "name": node,
             "listen": f"127.0.0.1:{self.node_port[node]}",
             "discovery": f"127.0.0.1:{self.watch_port[node]}",
@@ -174,7 +178,7 @@
             "known": {"index": 1, "snapshot": True, "endpoints": known},
             "settings": settings_of(self.deployment, NODES, objective_factor),
         }
-        self.configuration_path(node).write_text(json.dumps(file), encoding="utf-8")
+        self.configuration_path(node).write_text(json.dumps(configuration), encoding="utf-8")
 
     def start_node(self, node):
         self.write_configuration(node)
@@ -183,7 +187,7 @@
             "NODE_CONFIG": str(self.configuration_path(node)),
             "FAULT_PLAN": f"{self.folder}/{node}.faults",
             "LD_PRELOAD": f"{self.options.build}/{SHIM}",
-            "ASAN_OPTIONS": "verify_asan_link_order=0",  # of a build with AddressSanitizer: the shim comes first
+            "ASAN_OPTIONS": "verify_asan_link_order=0",  # the shim is loaded before an AddressSanitizer runtime
         }
         log = open(f"{self.folder}/{node}.log", "a", encoding="utf-8")
         self.node_process[node] = subprocess.Popen(
@@ -195,7 +199,7 @@
         self.started_at[node] = time.monotonic()
         self.log.write("node_up", node=node)
 
-    def wait_ready(self, node):
+    def wait_until_ready(self, node):
         end = time.monotonic() + STARTUP_TIMEOUT
         while time.monotonic() < end:
             if self.is_ready(node):
@@ -212,18 +216,18 @@
             return False
 
     def random_running_node(self):
-        """None where too few are running for a further one to be disturbed."""
+        """A random running node; None unless more than half of the nodes are running."""
         running = [n for n in self.nodes if self.node_process[n] is not None]
         return self.random.choice(running) if len(running) > NODES // 2 else None
 
     def end_node(self, node, process, signalled_at):
-        """Kills a node that has not ended in its grace period, checks its exit code, and starts it again."""
+        """Kills a node that did not exit within its grace period, checks its exit code, and restarts it."""
         if process.poll() is None:
             self.log.write("sigkill", node=node)
             process.kill()
-        # The signal may have come before the process could handle it.
-        young = signalled_at - self.started_at[node] < STARTS_WITHIN
-        allowed = (0, -signal.SIGKILL, *([-signal.SIGTERM] if young else []))
+        # SIGTERM may have arrived before the process had installed its handler.
+        just_started = signalled_at - self.started_at[node] < SIGNAL_SETUP_TIME
+        allowed = (0, -signal.SIGKILL, *([-signal.SIGTERM] if just_started else []))
         if process.wait() not in allowed:
             self.record_crash(node, process.returncode)
         self.log.write("node_down", node=node)
@@ -233,7 +237,7 @@
         self.crashes.append(f"crash: {node} ended with {code}")
 
     def take_crashed_nodes(self):
-        """The nodes that have ended by themselves since the last call; they count as down from now on."""
+        """Returns the nodes that exited on their own since the last call, and marks them as down."""
         crashed = []
         for node, process in self.node_process.items():
             if process is not None and process.poll() is not None:
@@ -245,9 +249,9 @@
         return crashed
 
     def failed_calls(self):
-        """System calls that were made to fail, by name."""
+        """The number of system calls that failed on purpose, by name of the call."""
         failures = {}
-        for plan in self.plans.values():
+        for plan in self.fault_plans.values():
             for call, count in plan.failures().items():
                 failures[call] = failures.get(call, 0) + count
         return failures
--- a/soak/node_settings.py
+++ b/soak/node_settings.py
@@ -1,9 +1,9 @@
-"""The settings that a node of the soak gets; the keys are those of the platform's configuration file."""
+"""Generates the settings of a node; the keys are those of the platform's configuration file."""
 
 
 def settings_of(deployment, node_count, objective_factor=1.0):
-    """The settings of a deployment. `objective_factor` stretches the latency objective of the first class: a reload
-    that changes something."""
+    """The settings of a deployment. `objective_factor` scales the latency objective of the first class, so that a
+    reload changes a setting."""
     return {
         "balancers": node_count,
         "classes": classes_of(deployment, objective_factor),
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,12 +1,14 @@
-"""A fault proxy between nodes and engines: one port for each pair, so that its log tells who sent what to whom, on
-the node's side of every fault. Steered by lines on its standard input.
+"""A fault proxy between nodes and engines. Each pair of node and engine has its own port, so that the log names both;
+a request is logged when the node sends it, before any fault of the proxy. Commands are read from standard input, one
+JSON object per line.
 
 usage: proxy.py FOLDER NAME ROUTES-AS-JSON         routes: [[node, engine, port, engine's port], ...]
 
-Lines: {"engine": NAME, "mode": "pass" | "hold" | "deaf" | "mute" | "reset" | "slow"}. "hold" keeps open connections
-silent and lets new ones fall silent, "deaf" only what nodes send, "mute" only what the engine answers; "slow" delays
-what is sent; "reset" resets what is open, once. A connection that its node closes over a silent path is closed
-towards its engine when the path is back.
+Commands: {"engine": NAME, "mode": "pass" | "hold" | "deaf" | "mute" | "reset" | "slow"}. "pass" forwards all data.
+"hold" forwards nothing on open and new connections, "deaf" nothing from nodes to the engine, "mute" nothing from the
+engine to nodes. "slow" delays data in both directions. "reset" resets the open connections once and keeps the mode. If
+a node closes a connection while its data to the engine is held back, the engine's side is closed once the path
+forwards data again.
 """
 
 import asyncio
@@ -16,70 +18,70 @@
 
 from wire import EventLog
 
-POLL = 0.02  # seconds between two looks at whether a path is back
-SLOW = 0.15  # seconds that a piece is held up
-HEAD = re.compile(rb"(POST|DELETE) \S+ HTTP/1\.1\r\n((?:[^\r]+\r\n)*)\r\n")
+POLL_INTERVAL = 0.02  # seconds between two checks whether a path forwards data again
+SLOW_DELAY = 0.15  # seconds by which each piece of data is delayed
+REQUEST_HEAD = re.compile(rb"(POST|DELETE) \S+ HTTP/1\.1\r\n((?:[^\r]+\r\n)*)\r\n")
 CALL_ID = re.compile(rb"^X-Call-Id: ([^\r]+)\r", re.IGNORECASE | re.MULTILINE)
 BUDGET = re.compile(rb"^X-Budget-Ms: (\d+)\r", re.IGNORECASE | re.MULTILINE)
-MOST_HEAD = 4096  # bytes in which a request's id is looked for
+MAX_REQUEST_HEAD = 4096  # bytes of unparsed data that are kept in order to find the end of a request head
 
 
 class Route:
-    """One connection: whose it is, and the request it carried last."""
+    """One connection: its node and engine, and the ID of its latest request."""
 
     def __init__(self, pair, engine):
         self.pair, self.engine, self.request = pair, engine, None
-        self.unread = b""  # the end of what its node has sent: a head may come in pieces
+        self.unread = b""  # unparsed data from the node; a request head may arrive in pieces
 
 
 class Proxy:
     def __init__(self, folder, name):
         self.log = EventLog(folder, name)
-        self.modes, self.open = {}, {}
+        self.modes, self.open_connections = {}, {}
 
     async def serve(self, node, engine, port, reader, writer):
         route = Route(f"{node}>{engine}", engine)
         connecting = asyncio.create_task(asyncio.open_connection("127.0.0.1", port))
-        there = asyncio.create_task(self.copy_to_engine(reader, connecting, route))
+        to_engine = asyncio.create_task(self.copy_to_engine(reader, connecting, route))
         try:
-            behind = await connecting
+            upstream = await connecting
         except OSError:
-            there.cancel()
+            to_engine.cancel()
             return writer.transport.abort()
-        pair = (writer, behind[1])
-        self.open.setdefault(engine, set()).add(pair)
-        back = asyncio.create_task(self.copy_to_node(behind[0], writer, route))
-        await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
-        while not there.done() and self.silent(engine, "mute"):  # its engine's close does not arrive
-            await asyncio.sleep(POLL)
-        if not there.done():
-            await asyncio.sleep(0.01)  # what the engine sent last
-        back.cancel()
+        pair = (writer, upstream[1])
+        self.open_connections.setdefault(engine, set()).add(pair)
+        to_node = asyncio.create_task(self.copy_to_node(upstream[0], writer, route))
+        await asyncio.wait({to_engine, to_node}, return_when=asyncio.FIRST_COMPLETED)
+        while not to_engine.done() and self.is_silenced(engine, "mute"):  # the node must not see that the engine closed
+            await asyncio.sleep(POLL_INTERVAL)
+        if not to_engine.done():
+            await asyncio.sleep(0.01)  # lets the engine's last data pass
+        to_node.cancel()
         writer.close()
-        while there.done() and self.silent(engine, "deaf"):  # nor does the close arrive
-            await asyncio.sleep(POLL)
-        there.cancel()
-        behind[1].close()
-        self.open[engine].discard(pair)
+        while to_engine.done() and self.is_silenced(engine, "deaf"):  # the engine must not see that the node closed
+            await asyncio.sleep(POLL_INTERVAL)
+        to_engine.cancel()
+        upstream[1].close()
+        self.open_connections[engine].discard(pair)
 
-    def silent(self, engine, one_way):
-        return self.modes.get(engine) in ("hold", one_way)
+    def is_silenced(self, engine, one_way_mode):
+        return self.modes.get(engine) in ("hold", one_way_mode)
 
     async def copy_to_engine(self, source, connecting, route):
-        """Passes on what a node sends, once its engine takes connections (one that stands still may take none for a
-        second). It is noted when it is sent, not when it arrives."""
+        """Forwards data from a node to the engine once the connection to the engine is established, which may take a
+        second if its process is stopped. Requests are logged when the node sends them, not when they arrive."""
         try:
             while data := await source.read(1 << 16):
-                self.note(data, route)
-                while self.silent(route.engine, "deaf") or not connecting.done():
-                    more = await self.read_within(source, POLL)
-                    if more == b"":  # its node has closed it: nothing of this arrives
+                self.log_requests(data, route)
+                while self.is_silenced(route.engine, "deaf") or not connecting.done():
+                    more = await self.read_with_timeout(source, POLL_INTERVAL)
+                    if more == b"":  # the node closed the connection: the held data is dropped
                         return
                     if more:
-                        self.note(more, route)
+                        self.log_requests(more, route)
                         data += more
                 if self.modes.get(route.engine) == "slow":
-                    await asyncio.sleep(SLOW)
+                    await asyncio.sleep(SLOW_DELAY)
                 _, engine = connecting.result()
                 engine.write(data)
                 await engine.drain()
@@ -89,13 +91,13 @@
             self.log.write("node_closed", pair=route.pair, **({"id": route.request} if route.request else {}))
 
     async def copy_to_node(self, source, node, route):
-        """Passes on what an engine answers."""
+        """Forwards data from the engine to the node."""
         try:
             while data := await source.read(1 << 16):
-                while self.silent(route.engine, "mute"):
-                    await asyncio.sleep(POLL)
+                while self.is_silenced(route.engine, "mute"):
+                    await asyncio.sleep(POLL_INTERVAL)
                 if self.modes.get(route.engine) == "slow":
-                    await asyncio.sleep(SLOW)
+                    await asyncio.sleep(SLOW_DELAY)
                 node.write(data)
                 if route.request:
                     self.log.write("passed", pair=route.pair, id=route.request)
@@ -104,16 +106,16 @@
             pass
 
     @staticmethod
-    async def read_within(source, seconds):
-        """What has come by then: None where nothing has, no bytes at the end."""
+    async def read_with_timeout(source, seconds):
+        """Reads data: None if none arrived within `seconds`, an empty value at the end of the connection."""
         try:
             return await asyncio.wait_for(source.read(1 << 16), seconds)
         except asyncio.TimeoutError:
             return None
 
-    def note(self, data, route):
+    def log_requests(self, data, route):
         unread, seen = route.unread + data, 0
-        for head in HEAD.finditer(unread):
+        for head in REQUEST_HEAD.finditer(unread):
             seen = head.end()
             request_id = CALL_ID.search(head.group(2))
             if request_id is None:
@@ -127,29 +129,29 @@
                 method=head.group(1).decode(),
                 **({"budget": int(budget.group(1))} if budget else {}),
             )
-        route.unread = unread[seen:][-MOST_HEAD:]
+        route.unread = unread[seen:][-MAX_REQUEST_HEAD:]
 
-    def do(self, order):
-        engine, mode = order["engine"], order["mode"]
+    def execute(self, command):
+        engine, mode = command["engine"], command["mode"]
         self.log.write("mode", engine=engine, mode=mode)
         if mode != "reset":
             self.modes[engine] = mode
             return
-        for pair in list(self.open.get(engine, ())):
+        for pair in list(self.open_connections.get(engine, ())):
             for end in pair:
                 end.transport.abort()
 
 
 async def main(folder, name, routes):
     proxy = Proxy(folder, name)
-    for node, engine, port, behind in json.loads(routes):
-        handler = lambda r, w, n=node, e=engine, b=behind: proxy.serve(n, e, b, r, w)  # noqa: E731
+    for node, engine, port, upstream in json.loads(routes):
+        handler = lambda r, w, n=node, e=engine, b=upstream: proxy.serve(n, e, b, r, w)  # noqa: E731
         await asyncio.start_server(handler, "127.0.0.1", port)
     proxy.log.write("up")
-    orders = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), sys.stdin)
-    while line := await orders.readline():
-        proxy.do(json.loads(line))
+    commands = asyncio.StreamReader()
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+    while line := await commands.readline():
+        proxy.execute(json.loads(line))
 
 
 if __name__ == "__main__":
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""A randomized soak of real processes on loopback: nodes under failing system calls, signals and reloads, behind a
-fault proxy, with engines, discovery and clients that misbehave, two or three faults at a time. An audit of what
-passed on the sockets is the oracle.
+"""A randomized soak test of real processes on loopback. System calls of the nodes fail, nodes are signalled and
+reloaded, a fault proxy disturbs their connections to engines, and engines, discovery and clients misbehave, with two or
+three faults at a time. An audit of the traffic that all processes logged decides whether the run passes.
 
 usage: run.py --seed N [--seconds S] [--build FOLDER] [--keep FOLDER]
 
-Prints one line a broken rule, then one with the counts. Exit code 0 only where no rule was broken and all kinds of
-load and fault were played.
+Prints one line per violation, then one with the counts. The exit code is 0 only if there was no violation and the run
+contained every required kind of load and fault.
 """
 
 import argparse
@@ -24,8 +24,8 @@
 from schedule import Schedule
 from wire import EventLog
 
-LAST_FAULT = 2  # seconds before the end
-RESPONSES_AFTER = 2  # seconds beyond the longest deadline that the run waits for last responses
+FAULT_FREE_PERIOD = 2  # seconds at the end of the run in which no fault starts
+WAIT_FOR_LAST_RESPONSES = 2  # seconds after the longest deadline for which the run waits for responses
 
 
 class Soak:
@@ -42,26 +42,26 @@
 
     def restart_crashed_nodes(self):
         for node in self.fleet.take_crashed_nodes():
-            self.schedule.later(0.2, lambda node=node: self.fleet.start_node(node))
+            self.schedule.run_after(0.2, lambda node=node: self.fleet.start_node(node))
 
-    def play(self):
+    def run(self):
         end = time.monotonic() + self.options.seconds
         self.faults.inject_mandatory()
         next_fault = time.monotonic() + 1
-        last_response = end + self.deployment.longest_deadline + RESPONSES_AFTER
+        last_response = end + self.deployment.longest_deadline + WAIT_FOR_LAST_RESPONSES
         while time.monotonic() < last_response and any(c.poll() is None for c in self.fleet.clients):
             now = time.monotonic()
             self.schedule.run_due(now)
-            if now >= next_fault and now < end - LAST_FAULT:
+            if now >= next_fault and now < end - FAULT_FREE_PERIOD:
                 self.faults.inject()
                 next_fault = now + self.random.uniform(0.1, 0.7)
             self.restart_crashed_nodes()
             time.sleep(0.02)
 
 
-def not_played(folder, failures):
-    """A run that plays nothing must not pass."""
-    counts = audit.counts(folder)
+def missing_load(folder, failures):
+    """Reports required kinds of load and fault that did not occur, so that a run without them fails."""
+    counts = audit.count_events(folder)
     for what in ("requested", "responded", "began", "held", "released", "mode", "sigterm"):
         if counts[what] == 0:
             yield f"not played: no event '{what}'"
@@ -74,7 +74,7 @@
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--build", default=str(HERE.parent / "build"))
-    parser.add_argument("--keep", help="folder for the logs; else they go with the run, unless a rule was broken")
+    parser.add_argument("--keep", help="folder for the logs; by default they are deleted unless there was a violation")
     options = parser.parse_args()
     for part in (PROGRAM, SHIM):
         if not pathlib.Path(options.build, part).is_file():
@@ -83,17 +83,17 @@
 
 
 def report(options, folder, soak):
-    """Prints what was found. Returns the broken rules."""
+    """Prints the violations and the counts. Returns the violations."""
     failures = soak.fleet.failed_calls()
-    broken = soak.fleet.crashes + audit.audit(folder) + list(not_played(folder, failures))
-    for line in broken:
+    violations = soak.fleet.crashes + audit.find_violations(folder) + list(missing_load(folder, failures))
+    for line in violations:
         print(f"seed {options.seed}: {line}")
-    logs = f" logs={folder}" if broken or options.keep else ""
+    logs = f" logs={folder}" if violations or options.keep else ""
     print(
-        f"seed {options.seed}: deployment={soak.deployment.name} broken={len(broken)} {audit.summary(folder)} "
+        f"seed {options.seed}: deployment={soak.deployment.name} broken={len(violations)} {audit.summary(folder)} "
         f"crowds={soak.faults.crowds} failed_calls={failures}{logs}"
     )
-    return broken
+    return violations
 
 
 def main():
@@ -103,13 +103,13 @@
     soak = Soak(options, folder)
     try:
         soak.fleet.start()
-        soak.play()
+        soak.run()
     finally:
         soak.fleet.stop()
-    broken = report(options, folder, soak)
-    if not broken and not options.keep:
+    violations = report(options, folder, soak)
+    if not violations and not options.keep:
         shutil.rmtree(folder)
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,18 +1,18 @@
-"""Actions that are due later in a run."""
+"""A queue of actions that a run executes at a later time."""
 
 import time
 
 
 class Schedule:
     def __init__(self):
-        self._due = []  # (time on the monotonic clock, action)
+        self._due = []  # (monotonic time in seconds, action)
 
-    def later(self, seconds, action):
+    def run_after(self, seconds, action):
         self._due.append((time.monotonic() + seconds, action))
 
     def run_due(self, now):
-        """Runs what is due by `now`. An action may schedule further ones."""
-        due = [action for at, action in self._due if at <= now]
-        self._due = [(at, action) for at, action in self._due if at > now]
+        """Runs the actions that are due by `now`. An action may schedule further ones."""
+        due = [action for time_due, action in self._due if time_due <= now]
+        self._due = [(time_due, action) for time_due, action in self._due if time_due > now]
         for action in due:
             action()
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,4 +1,4 @@
-"""The plan of failing system calls of one node: the memory that soak/fault_shim.h lays out, in a file."""
+"""Writes the fault plan of one node: a file with the memory layout of `FaultPlan` in soak/fault_shim.h."""
 
 import errno
 import mmap
@@ -6,11 +6,11 @@
 
 CALLS = ["accept", "socket", "connect", "watch", "receive", "send", "open", "write", "sync", "rename"]
 RULE = struct.Struct("iIII")  # errno, per mille, remaining, failed
-SWITCHES = struct.Struct("IIIIq")  # short per mille, stall in ms, its per mille, interrupted connects, clock step in ms
+SWITCHES = struct.Struct("IIIIq")  # short transfers (per mille), stall (ms, per mille), EINTR connects, clock step (ms)
 SIZE = len(CALLS) * RULE.size + SWITCHES.size
 UNLIMITED = 0xFFFFFFFF
 
-# Each kind of fault of a machine: call, errno, share of the calls that fail.
+# The system call faults that a run draws from: call, errno, failures per 1000 calls.
 FAULTS = [
     ("accept", errno.EMFILE, 500),
     ("accept", errno.ENOBUFS, 300),
@@ -30,7 +30,9 @@
 ]
 
 
-class Plan:
+class FaultPlan:
+    """The fault plan of one node, shared with its process."""
+
     def __init__(self, path):
         with open(path, "wb") as file:
             file.write(bytes(SIZE))
@@ -38,9 +40,9 @@
             self._memory = mmap.mmap(file.fileno(), SIZE)
 
     def fail(self, call, error, per_mille):
-        at = CALLS.index(call) * RULE.size
-        failed = RULE.unpack_from(self._memory, at)[3]
-        RULE.pack_into(self._memory, at, error, per_mille, UNLIMITED if per_mille else 0, failed)
+        offset = CALLS.index(call) * RULE.size
+        failed = RULE.unpack_from(self._memory, offset)[3]
+        RULE.pack_into(self._memory, offset, error, per_mille, UNLIMITED if per_mille else 0, failed)
 
     def set_switches(self, short=0, stall_ms=0, stall=0, interrupted=0, clock_step_ms=0):
         SWITCHES.pack_into(self._memory, len(CALLS) * RULE.size, short, stall_ms, stall, interrupted, clock_step_ms)
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -1,11 +1,11 @@
-"""What all stand-ins of the soak share: an event log on the machine's monotonic clock, and HTTP/1.1 messages."""
+"""Shared by all processes of the soak: an event log with monotonic timestamps, and HTTP/1.1 messages."""
 
 import json
 import time
 
 
 class EventLog:
-    """Appends one JSON object a line to a file of its own; the audit merges the files by time."""
+    """Appends one JSON object per line to the process's own file; the audit merges the files by time."""
 
     def __init__(self, folder, name):
         self._file = open(f"{folder}/{name}.events", "a", buffering=1, encoding="utf-8")
@@ -16,14 +16,14 @@
 
 
 class Message:
-    """The head and body of one request or response."""
+    """One request or response: start line, header fields by lower-case name, and body."""
 
     def __init__(self, start, fields, body):
         self.start, self.fields, self.body = start, fields, body
 
 
 async def read_message(reader, has_body=True):
-    """One message with a Content-Length, or None at the end of the connection."""
+    """Reads one message with a Content-Length. Raises IncompleteReadError if the connection ends before it does."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     fields = {
@@ -34,7 +34,7 @@
 
 
 def chunk(data):
-    """One chunk of a chunked body."""
+    """Encodes one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
@@ -43,7 +43,7 @@
 
 
 def event(request_id, index):
-    """An event that names the request it belongs to, so that a client can tell whose it is."""
+    """Encodes one event. It contains the request ID, so that a client detects events of other requests."""
     return f'data: {{"id":"{request_id}","index":{index}}}\n\n'.encode()
 
 
