--- a/soak/audit.py
+++ b/soak/audit.py
@@ -65,15 +65,15 @@
         return max((t for t in self.node_event_times[node]["sigterm"] if started < t < killed), default=None)
 
     def excused_by_kill(self, request, by_kind):
-        """Whether the node need not answer the request because it was killed.
+        """Whether a kill of the node excuses a missing response to the request.
 
         SIGKILL without SIGTERM excuses all open requests. SIGKILL after SIGTERM excuses a request that arrived just
         before the kill. It also excuses a request accepted before, or soon after, SIGTERM whose stream had started or
         whose deadline had not passed.
         """
         deadline = request["t"] + request["budget"] / 1000
-        seen = [e["t"] for kind in ("responded", "broken_off", "disconnected") for e in by_kind[kind]]
-        until = min(seen, default=deadline + 30) + LOGGING_SLACK
+        outcome_times = [e["t"] for kind in ("responded", "broken_off", "disconnected") for e in by_kind[kind]]
+        until = min(outcome_times, default=deadline + 30) + LOGGING_SLACK
         for killed in self.node_event_times[request["node"]]["sigkill"]:
             if not request["t"] - LOGGING_SLACK <= killed <= until:
                 continue
@@ -86,6 +86,7 @@
         return False
 
     def requests(self):
+        """(ID, event "requested", events by kind) of each request."""
         return [(i, kinds["requested"][0], kinds) for i, kinds in self.events_by_request.items() if kinds["requested"]]
 
     # ---- Rule 1: each request gets exactly one final response by its deadline ----
@@ -190,8 +191,8 @@
         """When the attempt that logged `began` was sent. Two attempts may begin at once at an engine whose process was
         stopped for a while; the deadline that was sent with each tells them apart."""
         sends = [e for e in by_kind["sent"] if e["pair"].endswith(">" + began["who"]) and e["t"] <= began["t"]]
-        own = [e for e in sends if e.get("budget") == began["budget"]]
-        return max((e["t"] for e in own or sends), default=began["t"])
+        same_budget = [e for e in sends if e.get("budget") == began["budget"]]
+        return max((e["t"] for e in same_budget or sends), default=began["t"])
 
     def attempt_spans(self, by_kind):
         """(start, end, engine) of each attempt that reached an engine. It ends when its node receives the response or
@@ -269,9 +270,9 @@
                 sent = next((s for s in sends if s["pair"].endswith(">" + began["who"])), None)
                 if sent is None:
                     continue
-                left = request["t"] + request["budget"] / 1000 - sent["t"]
-                if began["budget"] / 1000 > left + BUDGET_SLACK + LOGGING_SLACK:
-                    budget = f"{began['budget']} ms with {left * 1000:.0f} left"
+                time_left = request["t"] + request["budget"] / 1000 - sent["t"]
+                if began["budget"] / 1000 > time_left + BUDGET_SLACK + LOGGING_SLACK:
+                    budget = f"{began['budget']} ms with {time_left * 1000:.0f} left"
                     yield f"deadline: {request_id} of {request['node']} sent {budget}"
 
     def node_reported_violations(self):
--- a/soak/client.py
+++ b/soak/client.py
@@ -18,6 +18,8 @@
 
 
 class Client:
+    """Sends requests to random nodes until its end time, and logs them and their outcomes."""
+
     def __init__(self, folder, name, nodes, seconds, seed, budgets):
         self.log = EventLog(folder, name)
         self.name, self.nodes = name, nodes
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -18,6 +18,8 @@
 
 
 class Discovery:
+    """Serves the engine list to the nodes' watches, and logs each status that a node was notified of."""
+
     def __init__(self, folder, plan):
         self.log = EventLog(folder, "discovery")
         self.plan = plan  # {"nodes": {node: port}, "entries": {engine: entry}, "addresses": {node: {engine: address}}}
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -12,14 +12,14 @@
 
 # The shares of the attempts with each kind of fault; all others succeed.
 FAULTS = [
-    ("rejected", 0.03),
-    ("error", 0.03),
-    ("hang", 0.02),
-    ("reset", 0.02),
-    ("noise", 0.02),
-    ("absurd", 0.02),
-    ("stall", 0.01),
-    ("second", 0.02),
+    ("rejected", 0.03),  # 503 without having run
+    ("error", 0.03),  # status 500
+    ("hang", 0.02),  # no response for 60 s
+    ("reset", 0.02),  # the connection is reset
+    ("noise", 0.02),  # bytes that are not HTTP
+    ("absurd", 0.02),  # prefill: implausible numbers in the response
+    ("stall", 0.01),  # decode: the stream pauses for 60 s after three events
+    ("second", 0.02),  # prefill: a second response follows the first
 ]
 REJECTED = b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
@@ -29,6 +29,8 @@
 
 
 class Engine:
+    """Serves attempts, reservations and releases, and logs their start and end."""
+
     def __init__(self, folder, name, role, seed):
         self.log = EventLog(folder, name)
         self.role, self.random = role, random.Random(seed)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -13,6 +13,8 @@
 
 
 class FaultInjector:
+    """Starts faults of the kinds that weighted_kinds() lists, and schedules the end of those that last."""
+
     def __init__(self, fleet, schedule, seed):
         self.fleet, self.random, self.log = fleet, fleet.random, fleet.log
         self.run_after = schedule.run_after
@@ -57,13 +59,13 @@
             self.disturb_discovery,
             self.open_crowd,
         ]
-        frequent_kinds = [
+        frequent_groups = [
             [],
             [self.silence_engine_group, self.silence_engine_group, self.stop_engine, self.disturb_path],
             [self.terminate_series, self.reload_series, self.terminate_during_silence],
             [self.open_crowd, self.open_crowd, self.silence_engine_group],
         ]
-        return kinds + 2 * frequent_kinds[seed % len(frequent_kinds)]
+        return kinds + 2 * frequent_groups[seed % len(frequent_groups)]
 
     # ---- System calls and clock of a node ----
     def fail_system_calls(self):
--- a/soak/paths.py
+++ b/soak/paths.py
@@ -28,14 +28,14 @@
 
 def gaps(intervals, since, until):
     """The parts of [since, until] that no interval covers."""
-    left, at = [], since
+    uncovered, position = [], since
     for span in union(intervals):
-        if span.since > at:
-            left.append(Interval(at, min(span.since, until)))
-        at = max(at, span.until)
-    if at < until:
-        left.append(Interval(at, until))
-    return left
+        if span.since > position:
+            uncovered.append(Interval(position, min(span.since, until)))
+        position = max(position, span.until)
+    if position < until:
+        uncovered.append(Interval(position, until))
+    return uncovered
 
 
 class EngineReachability:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -31,10 +31,12 @@
 
     def __init__(self, pair, engine):
         self.pair, self.engine, self.request = pair, engine, None
-        self.unread = b""  # unparsed data from the node; a request head may arrive in pieces
+        self.unparsed = b""  # data from the node after the last complete request head
 
 
 class Proxy:
+    """Forwards connections between nodes and engines in the current mode of each engine."""
+
     def __init__(self, folder, name):
         self.log = EventLog(folder, name)
         self.modes, self.open_connections = {}, {}
@@ -114,8 +116,8 @@
             return None
 
     def log_requests(self, data, route):
-        unread, seen = route.unread + data, 0
-        for head in REQUEST_HEAD.finditer(unread):
+        unparsed, seen = route.unparsed + data, 0
+        for head in REQUEST_HEAD.finditer(unparsed):
             seen = head.end()
             request_id = CALL_ID.search(head.group(2))
             if request_id is None:
@@ -129,7 +131,7 @@
                 method=head.group(1).decode(),
                 **({"budget": int(budget.group(1))} if budget else {}),
             )
-        route.unread = unread[seen:][-MAX_REQUEST_HEAD:]
+        route.unparsed = unparsed[seen:][-MAX_REQUEST_HEAD:]
 
     def execute(self, command):
         engine, mode = command["engine"], command["mode"]
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -4,6 +4,8 @@
 
 
 class Schedule:
+    """Has no thread of its own: its owner has to call run_due() regularly."""
+
     def __init__(self):
         self._due = []  # (monotonic time in seconds, action)
 
--- a/tests/soak_audit_test.py
+++ b/tests/soak_audit_test.py
@@ -128,20 +128,25 @@
         event(10.3, "r2", "ended", id="a", role="prefill", complete=True),
     ]
     complete = [{**e, "t": 12.9} if e["who"] == "w0" and e["what"] == "ended" else e for e in clean_run()]
-    late = [*complete, *stream, event(20, "r1", "up")]
-    yield True, "a second state is held while the stream runs", late
+    with_second_state = [*complete, *stream, event(20, "r1", "up")]
+    yield True, "a second state is held while the stream runs", with_second_state
     yield False, "a second state is held while the stream runs, released in time", [
-        *late,
+        *with_second_state,
         event(11.2, "r1", "released", id="a"),
     ]
-    later = [{**e, "t": 11.5} if e["who"] == "r2" and e["what"] in ("held", "ended") else e for e in late]
-    yield False, "a second state of a killed node", [*later, event(10.25, "soak", "sigkill", node="n0")]
+    with_later_second_state = [
+        {**e, "t": 11.5} if e["who"] == "r2" and e["what"] in ("held", "ended") else e for e in with_second_state
+    ]
+    yield False, "a second state of a killed node", [
+        *with_later_second_state,
+        event(10.25, "soak", "sigkill", node="n0"),
+    ]
     yield True, "a second state that is overdue when its node is killed", [
-        *late,
+        *with_second_state,
         event(16, "soak", "sigkill", node="n0"),
     ]
     yield True, "a second state of a node that exited without being killed", [
-        *later,
+        *with_later_second_state,
         event(11.6, "soak", "node_down", node="n0"),
     ]
     yield False, "no engine can be reached", run_with_decode_on_silent_path(
