--- a/cmake/Components.cmake
+++ b/cmake/Components.cmake
@@ -1,8 +1,10 @@
-# A component is a static library gannetcourse_NAME, alias gannetcourse::NAME, that may use only the components it links.
+# Compiler warnings for all targets of the project.
 function(gannetcourse_warnings target)
   target_compile_options(${target} PRIVATE -Wall -Wextra $<$<BOOL:${GANNETCOURSE_STRICT}>:-Werror>)
 endfunction()
 
+# Adds a component: the static library gannetcourse_NAME with the alias gannetcourse::NAME. A component may use only
+# the components that it links.
 function(gannetcourse_component name)
   cmake_parse_arguments(COMPONENT "" "" "SOURCES;LINK" ${ARGN})
   set(target gannetcourse_${name})
@@ -17,6 +19,7 @@
   gannetcourse_warnings(${target})
 endfunction()
 
+# Adds an executable.
 function(gannetcourse_program target)
   cmake_parse_arguments(PROGRAM "" "" "SOURCES;LINK" ${ARGN})
   add_executable(${target} ${PROGRAM_SOURCES})
@@ -25,15 +28,15 @@
   gannetcourse_warnings(${target})
 endfunction()
 
-# An XML schema as a function of the component: std::string_view NAMESPACE::FUNCTION().
+# Compiles an XML schema into a target, as the function std::string_view NAMESPACE::FUNCTION() that returns its text.
 function(gannetcourse_schema target file namespace function)
   get_filename_component(name ${file} NAME_WE)
-  set(made ${CMAKE_CURRENT_BINARY_DIR}/${target}_${name}_xsd.cpp)
+  set(generated_file ${CMAKE_CURRENT_BINARY_DIR}/${target}_${name}_xsd.cpp)
   set_property(DIRECTORY APPEND PROPERTY CMAKE_CONFIGURE_DEPENDS ${file})
   file(READ ${file} SCHEMA_TEXT)
   set(SCHEMA_FILE ${file})
   set(SCHEMA_NAMESPACE ${namespace})
   set(SCHEMA_FUNCTION ${function})
-  configure_file(${PROJECT_SOURCE_DIR}/src/config/schema.cpp.in ${made} @ONLY)
-  target_sources(${target} PRIVATE ${made})
+  configure_file(${PROJECT_SOURCE_DIR}/src/config/schema.cpp.in ${generated_file} @ONLY)
+  target_sources(${target} PRIVATE ${generated_file})
 endfunction()
--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -1,4 +1,4 @@
-# The node, its daemon and the lab.
+# The router program (node, daemon and their libraries) and the lab.
 find_package(PkgConfig REQUIRED)
 find_package(Protobuf REQUIRED)
 find_package(spdlog REQUIRED)
@@ -9,17 +9,18 @@
 pkg_check_modules(XXHASH REQUIRED IMPORTED_TARGET libxxhash)
 find_package(Boost REQUIRED)
 
-set(made ${CMAKE_CURRENT_BINARY_DIR}/proto)
-file(MAKE_DIRECTORY ${made})
+set(generated_dir ${CMAKE_CURRENT_BINARY_DIR}/proto)
+file(MAKE_DIRECTORY ${generated_dir})
 foreach(name chat engine registry health resume)
   set(proto ${PROJECT_SOURCE_DIR}/proto/gannetcourse/v1/${name}.proto)
-  add_custom_command(OUTPUT ${made}/gannetcourse/v1/${name}.pb.cc ${made}/gannetcourse/v1/${name}.pb.h
-                     COMMAND protobuf::protoc --proto_path=${PROJECT_SOURCE_DIR}/proto --cpp_out=${made} ${proto}
+  add_custom_command(OUTPUT ${generated_dir}/gannetcourse/v1/${name}.pb.cc ${generated_dir}/gannetcourse/v1/${name}.pb.h
+                     COMMAND protobuf::protoc --proto_path=${PROJECT_SOURCE_DIR}/proto --cpp_out=${generated_dir}
+                             ${proto}
                      DEPENDS ${proto})
-  list(APPEND messages ${made}/gannetcourse/v1/${name}.pb.cc)
+  list(APPEND messages ${generated_dir}/gannetcourse/v1/${name}.pb.cc)
 endforeach()
 add_library(gannetcourse_proto STATIC ${messages})
-target_include_directories(gannetcourse_proto SYSTEM PUBLIC ${made})
+target_include_directories(gannetcourse_proto SYSTEM PUBLIC ${generated_dir})
 target_link_libraries(gannetcourse_proto PUBLIC protobuf::libprotobuf)
 
 gannetcourse_component(net SOURCES src/net/loop.cpp src/net/endpoint.cpp src/net/connection.cpp src/net/listener.cpp LINK gannetcourse_policy Threads::Threads)
@@ -71,7 +72,7 @@
   return()
 endif()
 
-# The lab: stand-ins, load and audit. Nothing of it is linked into the product.
+# The lab: simulated engines and registry, load and audits. It is not linked into the router program.
 gannetcourse_component(lab SOURCES lab/engine_model.cpp lab/ledger.cpp lab/fake_engine.cpp lab/fake_engine_calls.cpp lab/core_cost.cpp lab/fake_registry.cpp lab/scenario.cpp
                               lab/clients.cpp lab/fault_injector.cpp lab/node_process.cpp lab/seeded_fault.cpp lab/scenario_runner.cpp
                               lab/relay.cpp lab/bench.cpp lab/fault_search.cpp
@@ -80,7 +81,7 @@
 gannetcourse_schema(gannetcourse_lab ${PROJECT_SOURCE_DIR}/lab/day.xsd gannetcourse::lab scenarioSchema)
 gannetcourse_program(gannetcourse-lab SOURCES lab/main.cpp LINK gannetcourse_lab CLI11::CLI11)
 
-# The soak's shim of failing system calls: linked into tests, preloaded into processes.
+# Makes system calls fail, for tests (linked) and for the processes of the soak test (LD_PRELOAD).
 add_library(gannetcourse_fault_shim OBJECT soak/fault_shim.cpp)
 set_target_properties(gannetcourse_fault_shim PROPERTIES POSITION_INDEPENDENT_CODE ON)
 target_include_directories(gannetcourse_fault_shim PUBLIC ${PROJECT_SOURCE_DIR}/soak)
--- a/scripts/bad-day.sh
+++ b/scripts/bad-day.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The main job on a fresh machine: installs what is missing, builds, plays the scripted bad day and audits it.
+# Runs the lab's main scenario on a fresh machine: installs missing packages, builds, runs the "bad day" with its audit.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/install.sh
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing of scripts/packages.txt. Needs root only where something is missing.
+# Installs the missing packages of scripts/packages.txt. Needs root (or sudo) only if packages are missing.
 set -euo pipefail
 missing=()
 while read -r package; do
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,7 @@
 #!/usr/bin/env bash
-# clang-tidy over all C++ sources, by the compile commands of the given build folder; black and py_compile over Python.
+# Runs clang-tidy on all C++ sources, with the compile commands of a build folder, then black and py_compile on all
+# Python sources.
+# usage: lint.sh BUILD-FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -12,7 +12,7 @@
 import pathlib
 import sys
 
-# Names that earlier versions wrote, and today's.
+# Names that earlier versions wrote, and their current names.
 EARLIER_ACTIONS = {
     "taken": "accepted",
     "read": "prefill_started",
@@ -61,7 +61,7 @@
 ]
 
 
-def fields_of(text):
+def parse_fields(text):
     """'chat prompt 5 ttft_objective 0.9' as {'class': 'chat', 'prompt': 5.0, 'ttft_objective': 0.9}."""
     parts = text.split()
     has_class = len(parts) % 2 == 1
@@ -75,10 +75,10 @@
     return fields
 
 
-def router_record(line):
-    """The record on this line under today's names, None where the line has none."""
+def parse_record(line):
+    """The record on this line with current names, None if the line has none."""
     try:
-        record = json.loads(line[max(0, line.find("{")) :])  # whoever runs the router may put a time ahead
+        record = json.loads(line[max(0, line.find("{")) :])  # the log may have a prefix, such as a time
     except ValueError:
         return None
     if not isinstance(record, dict) or record.get("package") != "router" or "request" not in record:
@@ -89,24 +89,24 @@
     return record
 
 
-def requests_of(path):
-    """The requests in one file: what each asked for, and its events in order."""
+def read_requests(path):
+    """The requests in one file, each with the fields of its "accepted" record and its later events in order."""
     requests = {}
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
-            record = router_record(line)
+            record = parse_record(line)
             if record is None:
                 continue
             name = record["request"]
             if record["action"] == "accepted":
-                requests[name] = {"asked": fields_of(record["why"]), "at": record["at"], "events": []}
+                requests[name] = {"fields": parse_fields(record["why"]), "at": record["at"], "events": []}
             elif record["action"] in EVENTS and name in requests:
                 requests[name]["events"].append(record)
-    return [request for request in requests.values() if "class" in request["asked"]]
+    return [request for request in requests.values() if "class" in request["fields"]]
 
 
 def cause_of_served(request, first_token_at, served_at):
-    objectives, tokens = request["asked"], request["tokens"]
+    objectives, tokens = request["fields"], request["tokens"]
     if first_token_at is None or first_token_at - request["at"] > objectives.get("ttft_objective", 0):
         return "late first token"
     inter_token_time = (served_at - first_token_at) / tokens if tokens > 1 else 0
@@ -115,7 +115,7 @@
 
 
 def cause_of(request):
-    """The cause under which a request counts, None while it is open."""
+    """The cause under which a request is counted, None if it has not ended."""
     first_token_at, attempted, tokens = None, False, 0
     for event in request["events"]:
         action = event["action"]
@@ -123,7 +123,7 @@
         if action == "stream_started":
             first_token_at = event["at"]
         if action == "stream_completed":
-            tokens = fields_of(event["why"]).get("tokens", 0)
+            tokens = parse_fields(event["why"]).get("tokens", 0)
         if action == "served":
             request["tokens"] = tokens
             return cause_of_served(request, first_token_at, event["at"])
@@ -139,8 +139,8 @@
 
 
 def weight_of(request):
-    asked = request["asked"]
-    return asked.get("priority_weight", 1) * (asked.get("prompt", 0) + request.get("tokens", 0) + 1)
+    request_fields = request["fields"]
+    return request_fields.get("priority_weight", 1) * (request_fields.get("prompt", 0) + request.get("tokens", 0) + 1)
 
 
 def print_causes(requests):
@@ -160,7 +160,7 @@
 
 
 def print_wasted_work(requests):
-    """What costs without ending a request: attempts given up, states lost, prompts prefilled anew."""
+    """Prints repeated and lost work: cancelled and failed attempts, lost states, prompt tokens prefilled again."""
     events = [event for request in requests for event in request["events"]]
     prefills = sum(e["action"] == "prefill_started" for e in events)
     cancelled = sum(e["action"] == "call_cancelled" and e["why"] == "cancelled by the policy" for e in events)
@@ -170,12 +170,12 @@
 
     prompt = uncached = after_prefix = 0.0
     for request in requests:
-        asked = request["asked"]
+        request_fields = request["fields"]
         for event in request["events"]:
             if event["action"] == "prefill_completed":
-                prompt += asked.get("prompt", 0)
-                uncached += asked.get("prompt", 0) - fields_of(event["why"]).get("cached_tokens", 0)
-                after_prefix += asked.get("prompt", 0) - asked.get("prefix", 0)
+                prompt += request_fields.get("prompt", 0)
+                uncached += request_fields.get("prompt", 0) - parse_fields(event["why"]).get("cached_tokens", 0)
+                after_prefix += request_fields.get("prompt", 0) - request_fields.get("prefix", 0)
     if prompt:
         print(f"prompt tokens prefilled anew {uncached / prompt:.3f}, beyond their prefix {after_prefix / prompt:.3f}")
 
@@ -188,8 +188,8 @@
             if event["action"] == "prefill_started":
                 started = event
             if event["action"] == "prefill_completed" and started:
-                expected = fields_of(started["why"])
-                reported = fields_of(event["why"]).get("cached_tokens", 0)
+                expected = parse_fields(started["why"])
+                reported = parse_fields(event["why"]).get("cached_tokens", 0)
                 durations.append((expected.get("expected_duration", 0), event["at"] - started["at"]))
                 cached.append((expected.get("cached_tokens", 0), reported))
     for name, pairs in (("prefill time, s", durations), ("cached tokens", cached)):
@@ -214,7 +214,7 @@
             return 2
         files = sorted(path.rglob("*.log")) if path.is_dir() else [path]
         for file in files:
-            requests += requests_of(file)
+            requests += read_requests(file)
     if not requests:
         print("losses: no records of requests; run the router with --records", file=sys.stderr)
         return 1
--- a/scripts/run_tests.sh
+++ b/scripts/run_tests.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Runs the tests and passes over those that a list of known failures names, and over just these.
+# Runs the tests. Failures of tests on a list of known failures are reported but ignored; all others fail the run.
 # usage: run_tests.sh KNOWN-RED-FILE CTEST [ARGUMENT...]
-# A line of the list: test, cause, issue. Three lines at most; each has to name a test that exists.
+# Each line of the list is "test, cause, issue", with a number in the issue. The list has at most three lines, and
+# each must name an existing test.
 set -uo pipefail
 list=$1
 shift
-most=3
+max_lines=3
 
-fault() {
-  echo "known red: $*" >&2
+die() {
+  echo "known failures: $*" >&2
   exit 1
 }
 
@@ -17,16 +18,16 @@
   while IFS= read -r line; do
     [[ -z "${line//[[:space:]]/}" ]] && continue
     [[ "$line" =~ ^([^,[:space:]]+),[[:space:]]*([^[:space:]].*),[[:space:]]*([^,]*[0-9][^,]*)$ ]] ||
-      fault "a line is not 'test, cause, issue': $line"
+      die "line must be 'test, cause, issue', with a number in the issue: $line"
     listed+=("${BASH_REMATCH[1]}")
-    echo "known red: $line"
+    echo "known failure: $line"
   done < "$list"
 fi
-[ "${#listed[@]}" -le "$most" ] || fault "${#listed[@]} lines, $most at most"
+[ "${#listed[@]}" -le "$max_lines" ] || die "the list has ${#listed[@]} lines, must have at most $max_lines"
 
 names=$("$@" -N | sed -n 's/^ *Test *#[0-9]*: //p')
 for name in "${listed[@]+"${listed[@]}"}"; do
-  grep -qxF -- "$name" <<< "$names" || fault "'$name' is no test"
+  grep -qxF -- "$name" <<< "$names" || die "'$name' must be the name of an existing test"
 done
 
 report=$(mktemp)
@@ -34,23 +35,24 @@
 "$@" --output-junit "$report"
 code=$?
 
-# A test that did not run has not passed either.
-bad=$(sed -n 's/.*<testcase name="\([^"]*\)".* status="\(fail\|notrun\|disabled\)".*/\1/p' "$report")
+# Tests that did not run count as failed.
+failed=$(sed -n 's/.*<testcase name="\([^"]*\)".* status="\(fail\|notrun\|disabled\)".*/\1/p' "$report")
 passed=$(sed -n 's/.*<testcase name="\([^"]*\)".* status="run".*/\1/p' "$report")
-unlisted=0
+unlisted_failures=0
 while IFS= read -r name; do
   [ -n "$name" ] || continue
   if printf '%s\n' "${listed[@]+"${listed[@]}"}" | grep -qxF -- "$name"; then
-    echo "known red, passed over: $name"
+    echo "known failure, ignored: $name"
   else
     echo "failed: $name"
-    unlisted=$((unlisted + 1))
+    unlisted_failures=$((unlisted_failures + 1))
   fi
-done <<< "$bad"
+done <<< "$failed"
 for name in "${listed[@]+"${listed[@]}"}"; do
-  grep -qxF -- "$name" <<< "$passed" && echo "known red passes now, its line has to go: $name"
+  grep -qxF -- "$name" <<< "$passed" && echo "known failure passes now, remove its line: $name"
 done
-[ "$unlisted" -eq 0 ] || exit 1
-[ "$code" -eq 0 ] || [ -n "$bad" ] || fault "the tests ended with $code and no test is said to have failed"
-[ -n "$passed" ] || fault "no test has passed"
+[ "$unlisted_failures" -eq 0 ] || exit 1
+[ "$code" -eq 0 ] || [ -n "$failed" ] ||
+  die "the test command exited with code $code, but no test is reported as failed"
+[ -n "$passed" ] || die "no test has passed"
 exit 0
--- a/src/config/fault.cpp
+++ b/src/config/fault.cpp
@@ -11,7 +11,7 @@
 }
 
 InvalidFile::InvalidFile(std::vector<Fault> faults)
-    : std::runtime_error(faults.empty() ? "unusable file" : faults.front().text()),
+    : std::runtime_error(faults.empty() ? "invalid file" : faults.front().text()),
       faults_(std::move(faults)) {}
 
 }  // namespace gannetcourse::config
--- a/src/config/fault.h
+++ b/src/config/fault.h
@@ -1,4 +1,4 @@
-// What is wrong with a file that this program was given.
+// Faults of input files (settings, engine lists, keys), with their place and a remedy.
 #pragma once
 
 #include <stdexcept>
@@ -7,16 +7,16 @@
 
 namespace gannetcourse::config {
 
-/// One fault of a file.
+/// One fault of an input file.
 struct Fault {
   std::string file;
-  int line = 0;  ///< 0 = the file as a whole.
+  int line = 0;  ///< From 1; 0 = the fault concerns the whole file.
   std::string reason;
-  std::string remedy;        ///< What to do about it; may be empty.
-  std::string text() const;  ///< One line: "FILE:LINE: REASON; REMEDY".
+  std::string remedy;        ///< How to correct the file; may be empty.
+  std::string text() const;  ///< One line: "FILE:LINE: REASON; REMEDY", or without remedy if that is empty.
 };
 
-/// A file that cannot be used. Holds at least one fault; what() is the first.
+/// Thrown for a file with faults. Holds at least one fault; what() is the text of the first.
 class InvalidFile : public std::runtime_error {
  public:
   explicit InvalidFile(std::vector<Fault> faults);
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -6,9 +6,9 @@
 namespace gannetcourse::config {
 namespace {
 
-// Whether requests of one may be finished under the other; ClassLimits may differ, as only the checks of new
-// requests read them.
-bool haveSameObjectives(ClassSettings a, const ClassSettings& b) {
+// Whether a request accepted under one class can be finished under the other. ClassLimits are not compared:
+// they apply only when a request is accepted.
+bool areEqualIgnoringInService(ClassSettings a, const ClassSettings& b) {
   a.inService = b.inService;
   return a == b;
 }
@@ -17,62 +17,63 @@
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-// Two classes of one name never take the same index: the first to come has put it in service.
-void mergeClasses(const NodeSettings& running, NodeSettings& fresh) {
+// Keeps the index of each class whose settings are unchanged and appends the others. A match takes the index
+// into service, so that no later class is merged into the same index.
+void mergeClasses(const NodeSettings& running, NodeSettings& updated) {
   std::vector<ClassSettings> classes = running.policy.classes;
   std::vector<ClassLimits> limits = running.classes;
   for (ClassSettings& settings : classes) settings.inService = false;
-  for (std::size_t i = 0; i < fresh.classes.size(); ++i) {
+  for (std::size_t i = 0; i < updated.classes.size(); ++i) {
     std::size_t index = 0;
-    const auto isEarlier = [&](std::size_t at) {
-      return !classes[at].inService && limits[at].name == fresh.classes[i].name &&
-             haveSameObjectives(classes[at], fresh.policy.classes[i]);
+    const auto canReuseIndex = [&](std::size_t at) {
+      return !classes[at].inService && limits[at].name == updated.classes[i].name &&
+             areEqualIgnoringInService(classes[at], updated.policy.classes[i]);
     };
-    while (index < classes.size() && !isEarlier(index)) ++index;
+    while (index < classes.size() && !canReuseIndex(index)) ++index;
     if (index == classes.size()) {
       classes.emplace_back();
       limits.emplace_back();
     }
-    classes[index] = fresh.policy.classes[i];
-    limits[index] = fresh.classes[i];
+    classes[index] = updated.policy.classes[i];
+    limits[index] = updated.classes[i];
   }
-  fresh.policy.classes = std::move(classes);
-  fresh.classes = std::move(limits);
+  updated.policy.classes = std::move(classes);
+  updated.classes = std::move(limits);
 }
 
-void mergeTenants(const NodeSettings& running, NodeSettings& fresh) {
+void mergeTenants(const NodeSettings& running, NodeSettings& updated) {
   std::vector<TenantSettings> tenants = running.policy.tenants;
   std::vector<std::string> names = running.tenants;
   for (TenantSettings& tenant : tenants) tenant.inService = false;
-  for (std::size_t i = 0; i < fresh.tenants.size(); ++i) {
-    const std::size_t index = indexOf(names, fresh.tenants[i]);
+  for (std::size_t i = 0; i < updated.tenants.size(); ++i) {
+    const std::size_t index = indexOf(names, updated.tenants[i]);
     if (index == names.size()) {
-      names.push_back(fresh.tenants[i]);
+      names.push_back(updated.tenants[i]);
       tenants.emplace_back();
     }
-    tenants[index] = fresh.policy.tenants[i];
+    tenants[index] = updated.policy.tenants[i];
   }
-  fresh.policy.tenants = std::move(tenants);
-  fresh.tenants = std::move(names);
+  updated.policy.tenants = std::move(tenants);
+  updated.tenants = std::move(names);
 }
 
-void mergeZones(const NodeSettings& running, NodeSettings& fresh) {
+void mergeZones(const NodeSettings& running, NodeSettings& updated) {
   std::vector<std::string> zones = running.zones;
-  for (const std::string& zone : fresh.zones) {
+  for (const std::string& zone : updated.zones) {
     if (indexOf(zones, zone) == zones.size()) zones.push_back(zone);
   }
-  fresh.zones = std::move(zones);
-  fresh.policy.zone = running.policy.zone;  // a running node's own zone is fixed
+  updated.zones = std::move(zones);
+  updated.policy.zone = running.policy.zone;  // a node's own zone changes only with a restart
 }
 
 }  // namespace
 
-NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh) {
-  mergeClasses(running, fresh);
-  mergeTenants(running, fresh);
-  mergeZones(running, fresh);
-  fresh.policy.seed = running.policy.seed;
-  return fresh;
+NodeSettings mergeForReload(const NodeSettings& running, NodeSettings updated) {
+  mergeClasses(running, updated);
+  mergeTenants(running, updated);
+  mergeZones(running, updated);
+  updated.policy.seed = running.policy.seed;
+  return updated;
 }
 
 std::optional<std::size_t> findClassInService(const NodeSettings& settings, std::string_view name) {
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -1,4 +1,4 @@
-// What a running node serves by after a reload. Pure: no I/O, clock or threads.
+// Merges reloaded settings into those of a running node. Pure functions: no I/O, clock or threads.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,14 @@
 
 namespace gannetcourse::config {
 
-/// The fresh settings with classes, tenants and zones at indices whose meaning never changes while the node
-/// runs: accepted requests are finished under the class that they came with. An entry equal to one of
-/// `running` keeps its index; new or different ones are appended; entries that `fresh` lacks stay, out of
-/// service. So a reload of an earlier file finds the earlier indices. Each reload that changes a class adds
-/// an index until the next start.
-NodeSettings mergeForReload(const NodeSettings& running, NodeSettings fresh);
+/// Returns `updated` with its classes, tenants and zones at stable indices: accepted requests refer to their
+/// class and tenant by index and are finished under it. A class equal to one of `running`, and a tenant or
+/// zone of the same name, keeps its index; others are appended; classes and tenants that `updated` lacks are
+/// kept with inService = false. Reloading an earlier file thus restores the earlier indices. Each reload with
+/// a changed class adds an index until the node restarts.
+NodeSettings mergeForReload(const NodeSettings& running, NodeSettings updated);
 
-/// The index of the class or tenant that requests may name; absent: it is not in service.
+/// The index of the class or tenant of this name; std::nullopt if there is none in service.
 std::optional<std::size_t> findClassInService(const NodeSettings& settings, std::string_view name);
 std::optional<std::size_t> findTenantInService(const NodeSettings& settings, std::string_view name);
 
--- a/src/config/settings_difference.cpp
+++ b/src/config/settings_difference.cpp
@@ -14,7 +14,7 @@
 
 const char* formatFlag(bool value) { return value ? "true" : "false"; }
 
-// All of it in one line: any difference needs a restart.
+// Formats all recovery limits as one text: a change of any of them needs a restart.
 std::string formatRecovery(const NodeSettings& settings) {
   const recovery::Limits& limits = settings.recovery;
   std::string text = limits.enabled ? "on" : "off";
@@ -98,53 +98,53 @@
          formatDuration(settings.keepaliveTimeout);
 }
 
-enum class Change { kInService, kWithRestart };
+enum class AppliedBy { kReload, kRestart };
 
 struct ComparedSetting {
   const char* name;
   std::string (*format)(const NodeSettings&);
-  Change change;
+  AppliedBy appliedBy;
 };
 
 using S = NodeSettings;
 
 constexpr ComparedSetting kComparedSettings[] = {
-    {"node name", [](const S& s) { return s.name; }, Change::kWithRestart},
-    {"node zone", [](const S& s) { return s.zone; }, Change::kWithRestart},
-    {"listen grpc", [](const S& s) { return s.listenAddress; }, Change::kWithRestart},
-    {"fleet registry", [](const S& s) { return s.registryAddress; }, Change::kWithRestart},
-    {"fleet saved", [](const S& s) { return s.engineListCacheFile; }, Change::kWithRestart},
-    {"log file", [](const S& s) { return s.logFile; }, Change::kWithRestart},
-    {"fleet file", [](const S& s) { return s.engineListFile; }, Change::kInService},
-    {"recovery", formatRecovery, Change::kWithRestart},
-    {"resume key-file", [](const S& s) { return s.resumeKeyFile; }, Change::kInService},
-    {"log level", [](const S& s) { return s.logLevel; }, Change::kInService},
+    {"node name", [](const S& s) { return s.name; }, AppliedBy::kRestart},
+    {"node zone", [](const S& s) { return s.zone; }, AppliedBy::kRestart},
+    {"listen grpc", [](const S& s) { return s.listenAddress; }, AppliedBy::kRestart},
+    {"fleet registry", [](const S& s) { return s.registryAddress; }, AppliedBy::kRestart},
+    {"fleet saved", [](const S& s) { return s.engineListCacheFile; }, AppliedBy::kRestart},
+    {"log file", [](const S& s) { return s.logFile; }, AppliedBy::kRestart},
+    {"fleet file", [](const S& s) { return s.engineListFile; }, AppliedBy::kReload},
+    {"recovery", formatRecovery, AppliedBy::kRestart},
+    {"resume key-file", [](const S& s) { return s.resumeKeyFile; }, AppliedBy::kReload},
+    {"log level", [](const S& s) { return s.logLevel; }, AppliedBy::kReload},
     {"listen stream-buffer", [](const S& s) { return std::to_string(s.streamBufferBytes); },
-     Change::kInService},
-    {"limits longest-deadline", [](const S& s) { return formatDuration(s.maxDeadline); }, Change::kInService},
-    {"node nodes", [](const S& s) { return std::to_string(s.policy.routerCount); }, Change::kInService},
-    {"zones", formatZones, Change::kInService},
-    {"classes", formatClasses, Change::kInService},
-    {"tenants", formatTenants, Change::kInService},
+     AppliedBy::kReload},
+    {"limits longest-deadline", [](const S& s) { return formatDuration(s.maxDeadline); }, AppliedBy::kReload},
+    {"node nodes", [](const S& s) { return std::to_string(s.policy.routerCount); }, AppliedBy::kReload},
+    {"zones", formatZones, AppliedBy::kReload},
+    {"classes", formatClasses, AppliedBy::kReload},
+    {"tenants", formatTenants, AppliedBy::kReload},
     {"limits max-attempts", [](const S& s) { return std::to_string(s.policy.maxAttempts); },
-     Change::kInService},
+     AppliedBy::kReload},
     {"limits pin-limit", [](const S& s) { return formatDuration(s.policy.stateLeaseLimit); },
-     Change::kInService},
+     AppliedBy::kReload},
     {"limits max-retry-after", [](const S& s) { return formatDuration(s.policy.maxRetryAfter); },
-     Change::kInService},
+     AppliedBy::kReload},
     {"limits worth-by", [](const S& s) { return std::string(s.policy.weightByTokens ? "work" : "request"); },
-     Change::kInService},
-    {"limits drain-grace", [](const S& s) { return formatDuration(s.drainGrace); }, Change::kInService},
+     AppliedBy::kReload},
+    {"limits drain-grace", [](const S& s) { return formatDuration(s.drainGrace); }, AppliedBy::kReload},
     {"tenants over-share-worth", [](const S& s) { return formatNumber(s.policy.overQuotaWeight); },
-     Change::kInService},
-    {"listen limits", formatListenLimits, Change::kWithRestart},
-    {"engines connections and keepalive", formatEngineConnections, Change::kWithRestart},
-    {"cold-start", formatSlowStart, Change::kInService},
-    {"engines", formatEngines, Change::kInService},
+     AppliedBy::kReload},
+    {"listen limits", formatListenLimits, AppliedBy::kRestart},
+    {"engines connections and keepalive", formatEngineConnections, AppliedBy::kRestart},
+    {"cold-start", formatSlowStart, AppliedBy::kReload},
+    {"engines", formatEngines, AppliedBy::kReload},
     {"limits answer-margin", [](const S& s) { return formatDuration(s.responseMargin); },
-     Change::kWithRestart},
+     AppliedBy::kRestart},
     {"engines connect-timeout", [](const S& s) { return formatDuration(s.connectTimeout); },
-     Change::kWithRestart},
+     AppliedBy::kRestart},
 };
 
 void addDifference(const std::string& name, const std::string& before, const std::string& after,
@@ -180,7 +180,7 @@
 
 std::string firstRestartOnlyDifference(const NodeSettings& before, const NodeSettings& after) {
   for (const ComparedSetting& setting : kComparedSettings) {
-    if (setting.change != Change::kWithRestart) continue;
+    if (setting.appliedBy != AppliedBy::kRestart) continue;
     if (setting.format(before) != setting.format(after)) return setting.name;
   }
   return {};
--- a/src/config/settings_difference.h
+++ b/src/config/settings_difference.h
@@ -1,4 +1,4 @@
-// What differs between two settings, for the log of a reload, and what a running node cannot change.
+// Compares two settings: describes the differences for the log, and finds those that need a restart.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace gannetcourse::config {
 
-/// One line for each setting that differs: "limits max-attempts: 4 -> 6".
+/// Returns one line for each setting that differs, such as "limits max-attempts: 4 -> 6".
 std::vector<std::string> describeDifferences(const NodeSettings& before, const NodeSettings& after);
 
-/// The first setting that differs and that only a restart can change; empty where there is none.
+/// The name of the first differing setting that only a restart can apply; empty if there is none.
 std::string firstRestartOnlyDifference(const NodeSettings& before, const NodeSettings& after);
 
 }  // namespace gannetcourse::config
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -8,11 +8,11 @@
 namespace gannetcourse::config {
 namespace {
 
-constexpr std::uint64_t kMinMaxMessageBytes = 1024;
-constexpr std::uint64_t kMinMaxMetadataBytes = 512;
-constexpr double kMaxQuotaSum = 1.0001;  // 1 and what adding decimal fractions may round up to
+constexpr std::uint64_t kMinMessageLimitBytes = 1024;
+constexpr std::uint64_t kMinMetadataLimitBytes = 512;
+constexpr double kMaxQuotaSum = 1.0001;  // 1, with a tolerance for rounding errors of the sum
 constexpr double kTokensPerObjectiveUnit = 1000;
-const Duration kTimerDelay{0.005};  // how late a busy loop runs its timers
+const Duration kTimerDelay{0.005};  // a busy event loop runs its timers up to this late
 const Duration kMinEngineLease{0.4};
 const Duration kMinSilence{0.2};
 constexpr double kMinSlowFactor = 1.5;
@@ -79,7 +79,7 @@
   }
 
  private:
-  // The element of this name, or the root, which has none of its attributes: then the defaults apply.
+  // The child element of this name. If absent, the root element: it has no attributes, so defaults apply.
   Element optionalChild(std::string_view name) const { return root_.child(name).value_or(root_); }
 
   void addFault(const Element& at, std::string reason, std::string remedy) {
@@ -94,7 +94,8 @@
     for (const Element& zone : root_.child("zones")->children()) zones.push_back(zone.text("name"));
     const auto own = std::find(zones.begin(), zones.end(), settings_.zone);
     if (own == zones.end())
-      addFault(node, "zone '" + settings_.zone + "' is not one of <zones>", "add it there or correct it");
+      addFault(node, "node zone '" + settings_.zone + "' is not one of <zones>",
+               "add it to <zones> or correct the name");
     settings_.policy.zone = static_cast<std::uint32_t>(own - zones.begin());
     settings_.policy.routerCount = static_cast<int>(node.count("nodes", 1));
     settings_.policy.seed = node.count("seed", 0);
@@ -105,16 +106,19 @@
     NodeSettings& s = settings_;
     s.listenAddress = listen.text("grpc");
     if (!net::parseEndpoint(s.listenAddress))
-      addFault(listen, "grpc '" + s.listenAddress + "' is no address", "write a.b.c.d:port");
+      addFault(listen,
+               "listen grpc '" + s.listenAddress + "' must be an IPv4 address with a port of at most 65535",
+               "write it as a.b.c.d:port");
     s.maxConnections = static_cast<std::uint32_t>(listen.count("max-connections", s.maxConnections));
     s.maxStreamsPerConnection =
         static_cast<std::uint32_t>(listen.count("max-streams", s.maxStreamsPerConnection));
     s.maxMessageBytes = listen.bytes("max-message", s.maxMessageBytes);
     s.maxMetadataBytes = listen.bytes("max-metadata", s.maxMetadataBytes);
     s.streamBufferBytes = listen.bytes("stream-buffer", s.streamBufferBytes);
-    if (s.maxMessageBytes < kMinMaxMessageBytes) addFault(listen, "max-message is under 1KiB", "raise it");
-    if (s.maxMetadataBytes < kMinMaxMetadataBytes)
-      addFault(listen, "max-metadata is under 512 bytes", "raise it");
+    if (s.maxMessageBytes < kMinMessageLimitBytes)
+      addFault(listen, "listen max-message must be at least 1KiB", "increase it");
+    if (s.maxMetadataBytes < kMinMetadataLimitBytes)
+      addFault(listen, "listen max-metadata must be at least 512 bytes", "increase it");
   }
 
   void readClasses() {
@@ -123,9 +127,10 @@
       const ClassSettings objectives = readClassSettings(element);
       const ClassLimits limits = readClassLimits(element);
       if (!names.insert(limits.name).second)
-        addFault(element, "class '" + limits.name + "' is there twice", "rename or remove one");
+        addFault(element, "class '" + limits.name + "' is defined more than once", "rename or remove one");
       if (objectives.ttftObjective.count() <= 0)
-        addFault(element, "aim is 0", "give the time within which a first token has its full worth");
+        addFault(element, "class aim must be more than 0s",
+                 "set it to the time within which a first token earns the class's full worth");
       checkDedupWindow(element, objectives);
       settings_.policy.classes.push_back(objectives);
       settings_.classes.push_back(limits);
@@ -136,10 +141,11 @@
     const bool hasKey = objectives.idempotency == Idempotency::kIdempotencyKey;
     const bool hasWindow = objectives.dedupWindow.count() > 0;
     if (hasKey && !hasWindow)
-      addFault(element, "rule 2 (no effect twice): a keyed class without dedup-window",
-               "say how long engines drop its repeats, or make it unsafe");
+      addFault(element, "rule 2 (no effect twice): dedup-window of a keyed class must be set to more than 0s",
+               "set it to the time for which engines drop duplicates, or set effect=\"unsafe\"");
     if (!hasKey && hasWindow)
-      addFault(element, "dedup-window on a class that is not keyed", "remove it or set effect=\"keyed\"");
+      addFault(element, "dedup-window must be set only for a class with effect=\"keyed\"",
+               "remove it or set effect=\"keyed\"");
   }
 
   void readTenants() {
@@ -155,10 +161,10 @@
       settings_.tenants.push_back(name);
       settings_.policy.tenants.push_back(quota);
       if (!names.insert(name).second)
-        addFault(element, "tenant '" + name + "' is there twice", "rename or remove one");
+        addFault(element, "tenant '" + name + "' is defined more than once", "rename or remove one");
     }
     if (quotaSum > kMaxQuotaSum)
-      addFault(*tenants, "the tenants' shares add up to more than 1", "lower them");
+      addFault(*tenants, "the shares of all tenants must not add up to more than 1", "decrease them");
   }
 
   void readLimits() {
@@ -202,7 +208,8 @@
     settings_.keepaliveInterval = engines.duration("keepalive", settings_.keepaliveInterval);
     settings_.keepaliveTimeout = engines.duration("keepalive-timeout", settings_.keepaliveTimeout);
     if (reports == "probes" && !policy.probesAllowed)
-      addFault(engines, "reports=\"probes\" needs probes=\"true\"", "allow probes or choose other reports");
+      addFault(engines, "engines reports=\"probes\" requires probes=\"true\"",
+               "set probes=\"true\" or choose another value for reports");
   }
 
   void readRecovery() {
@@ -230,12 +237,17 @@
 
   void checkRecovery(const Element& element, const recovery::Limits& limits) {
     if (limits.engineLease < kMinEngineLease)
-      addFault(element, "lease is under 400ms: a short stall would end streams (rule 2 rests on it)",
-               "raise it");
+      addFault(element,
+               "recovery lease must be at least 400ms: with less, a short stall ends streams (rule 2 depends "
+               "on the lease)",
+               "increase it");
     if (limits.slowFactor < kMinSlowFactor)
-      addFault(element, "slow-factor is under 1.5: ordinary streams would count as slow", "raise it");
+      addFault(element, "recovery slow-factor must be at least 1.5: with less, normal streams count as slow",
+               "increase it");
     if (limits.minSilence < kMinSilence)
-      addFault(element, "silence-at-least is under 200ms: a pause would move streams", "raise it");
+      addFault(element,
+               "recovery silence-at-least must be at least 200ms: with less, a short pause migrates streams",
+               "increase it");
   }
 
   void readFiles() {
@@ -245,7 +257,7 @@
     settings_.engineListFile = fleet.text("file");
     settings_.engineListCacheFile = fleet.text("saved");
     if (settings_.registryAddress.empty() == settings_.engineListFile.empty())
-      addFault(fleet, "the fleet needs one source", "give either registry or file");
+      addFault(fleet, "fleet must have exactly one source: registry or file", "set one of the two");
   }
 
   void readLog() {
--- a/src/config/settings_rules.h
+++ b/src/config/settings_rules.h
@@ -1,4 +1,4 @@
-// The checks that keep a node from being set up to break one of the five rules.
+// Checks of a node's settings against the five rules.
 #pragma once
 
 #include <vector>
@@ -7,8 +7,8 @@
 
 namespace gannetcourse::config {
 
-/// Appends a fault for each setting that would let a node break a rule, whatever the decision module would
-/// make of it. `root` is the document that `settings` were read from.
+/// Appends a fault for each setting with which a node could break a rule, whatever the decision module
+/// decides. `root` is the root of the document that `settings` were read from; faults refer to its lines.
 void checkRules(const Element& root, const NodeSettings& settings, std::vector<Fault>& faults);
 
 }  // namespace gannetcourse::config
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -14,7 +14,7 @@
 constexpr Unit kDurationUnits[] = {{"us", 1e-6}, {"ms", 1e-3}, {"min", 60}, {"s", 1}};
 constexpr Unit kSizeUnits[] = {{"KiB", 1024}, {"MiB", 1024.0 * 1024}, {"GiB", 1024.0 * 1024 * 1024}, {"", 1}};
 
-// A number that is followed by one of the units.
+// Parses a number followed by one of the units; returns its value times the unit's factor.
 template <std::size_t kCount>
 std::optional<double> parseWithUnit(std::string_view text, const Unit (&units)[kCount]) {
   double value = 0;
--- a/src/config/units.h
+++ b/src/config/units.h
@@ -1,4 +1,4 @@
-// Durations and sizes as settings write them: a number with its unit.
+// Parses and formats durations and sizes as written in settings: a number with its unit.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace gannetcourse::config {
 
-/// "250ms", "1.5s", "2min", "40us"; nothing where malformed or negative.
+/// Parses "250ms", "1.5s", "2min" or "40us"; std::nullopt if malformed or negative.
 std::optional<Duration> parseDuration(std::string_view text);
 
-/// The duration in the largest of s, ms and us that it fills, with up to six digits.
+/// Formats with up to six significant digits, in s from 1 s, in ms from 1 ms, else in us.
 std::string formatDuration(Duration duration);
 
-/// Bytes from "32KiB", "4MiB", "1GiB" or "100"; nothing where malformed or negative.
+/// Parses "32KiB", "4MiB", "1GiB" or "100" to bytes; std::nullopt if malformed or negative.
 std::optional<std::uint64_t> parseBytes(std::string_view text);
 
 }  // namespace gannetcourse::config
--- a/src/config/xml.cpp
+++ b/src/config/xml.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kParseOptions = XML_PARSE_NONET | XML_PARSE_BIG_LINES;
 
-// A message of the library as one line, without the namespaces that it puts before names.
+// Converts a libxml2 message to one line, without trailing punctuation and the namespaces before names.
 std::string toOneLine(std::string text) {
   for (auto at = text.find("{urn:"); at != std::string::npos; at = text.find("{urn:", at)) {
     const auto end = text.find('}', at);
@@ -26,8 +26,8 @@
   return text;
 }
 
-// What to do about a message of the library that holds a fragment; the first that fits counts. The library's
-// codes do not tell apart which pattern of the schema a value misses.
+// The remedy for libxml2 messages that contain a fragment; the first match applies. Messages are matched
+// because libxml2's error codes do not distinguish which pattern of the schema a value violates.
 struct Remedy {
   std::string_view fragment;
   const char* remedy;
@@ -38,7 +38,7 @@
     {"{1,3}(\\.", "write an address as 127.0.0.1:8080"},
     {"is not allowed", "remove it or correct its name"},
     {"required but missing", "add it"},
-    {"not expected", "move or rename this element as the schema has it"},
+    {"not expected", "move or rename this element as the schema requires"},
     {"Missing child", "add the missing element"},
     {"enumeration", "use one of the listed values"},
     {"facet", "correct the value"},
@@ -53,21 +53,21 @@
   return "correct the file's XML";
 }
 
-// Where the library's errors go while it reads or validates one file.
+// Collects libxml2's errors while it reads or validates one file.
 struct FaultCollector {
   const std::string& file;
   std::vector<Fault>& faults;
-  bool loadFailed = false;  // the first error: the file could not be opened
+  bool loadFailed = false;  // the first error was that the file could not be opened
 };
 
 void collectFault(void* user, xmlErrorPtr error) {
   auto& collector = *static_cast<FaultCollector*>(user);
   std::vector<Fault>& faults = collector.faults;
-  const std::string message = toOneLine(error->message == nullptr ? "unreadable" : error->message);
-  // The schema checker reports a bad value twice; the second message says less.
-  const bool repeatsTheLast = !faults.empty() && faults.back().line == error->line &&
-                              message.find("is not a valid value of the") != std::string::npos;
-  if (repeatsTheLast) return;
+  const std::string message = toOneLine(error->message == nullptr ? "unknown XML error" : error->message);
+  // The schema validator reports an invalid value twice; the second message is less specific.
+  const bool repeatsLastFault = !faults.empty() && faults.back().line == error->line &&
+                                message.find("is not a valid value of the") != std::string::npos;
+  if (repeatsLastFault) return;
   if (faults.empty()) collector.loadFailed = error->code == XML_IO_LOAD_ERROR;
   faults.push_back({collector.file, error->line, message, remedyFor(message)});
 }
@@ -77,8 +77,8 @@
   std::call_once(once, xmlInitParser);
 }
 
-// Runs `read` while collecting the parser's errors. Of an unreadable document the first fault stays alone:
-// the others follow from it.
+// Runs `read` and collects the parser's errors. Returns null if the document cannot be parsed, and keeps only
+// the first fault then: the others follow from it.
 template <class Read>
 xmlDoc* readDocument(const std::string& file, std::vector<Fault>& faults, const Read& read) {
   initializeLibrary();
@@ -88,7 +88,7 @@
   xmlSetStructuredErrorFunc(nullptr, nullptr);
   if (document != nullptr) return document;
   if (faults.empty() || collector.loadFailed)
-    faults = {{file, 0, "cannot be read", "check the path and its rights"}};
+    faults = {{file, 0, "the file cannot be read", "specify a file that the router's user can read"}};
   faults.resize(1);
   return nullptr;
 }
@@ -101,7 +101,7 @@
   const SchemaParser parser(xmlSchemaNewMemParserCtxt(text.data(), static_cast<int>(text.size())),
                             xmlSchemaFreeParserCtxt);
   Schema schema(xmlSchemaParse(parser.get()), xmlSchemaFree);
-  if (!schema) throw std::logic_error("the built-in schema is broken");
+  if (!schema) throw std::logic_error("the built-in XML schema is invalid");
   return schema;
 }
 
--- a/src/config/xml.h
+++ b/src/config/xml.h
@@ -1,4 +1,4 @@
-// XML files checked against a schema, with typed attributes that name their units. By libxml2.
+// XML documents validated against a schema, with typed attributes that include their units. Uses libxml2.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace gannetcourse::config {
 
-/// An element of a checked document, valid as long as the document. The getters trust the schema for the form
-/// and return `fallback` where an attribute is absent.
+/// An element of a validated document; must not outlive the document. The getters do not check the format,
+/// which the schema has validated, and return `fallback` if the attribute is absent.
 class Element {
  public:
   Element(const std::string* file, _xmlNode* node) : file_(file), node_(node) {}
@@ -34,10 +34,10 @@
 
   std::vector<Element> children() const;
   std::vector<Element> children(std::string_view name) const;
-  /// The first child of this name; nothing where there is none.
+  /// The first child of this name; std::nullopt if there is none.
   std::optional<Element> child(std::string_view name) const;
 
-  /// A fault at this element's place.
+  /// A fault with this element's file and line.
   Fault fault(std::string reason, std::string remedy) const {
     return {*file_, line(), std::move(reason), std::move(remedy)};
   }
@@ -47,13 +47,13 @@
   _xmlNode* node_;
 };
 
-/// A document that fits its schema; owns the tree that its elements refer to.
+/// A schema-valid document; owns the tree that its elements refer to.
 class Document {
  public:
-  /// Reads and checks a file. Throws InvalidFile where it cannot be read, is no XML or does not fit the
-  /// schema.
+  /// Reads and validates a file. Throws InvalidFile if it cannot be read, is not well-formed XML or does not
+  /// match the schema.
   static Document load(const std::string& path, std::string_view schema);
-  /// The same for text; `name` stands for the file in faults.
+  /// Parses and validates `text`; faults use `name` as the file name.
   static Document parse(std::string_view text, const std::string& name, std::string_view schema);
   Element root() const;
 
@@ -70,7 +70,7 @@
   std::unique_ptr<_xmlDoc, DocumentDeleter> document_;
 };
 
-/// Text as the value of an attribute, escaped, quotes included.
+/// Escapes text as an attribute's value and puts it in double quotes.
 std::string quotedAttribute(std::string_view text);
 
 }  // namespace gannetcourse::config
--- a/src/daemon/check_command.cpp
+++ b/src/daemon/check_command.cpp
@@ -20,13 +20,13 @@
 void printClass(const config::NodeSettings& settings, std::size_t index) {
   const config::ClassLimits& limits = settings.classes[index];
   const Duration timeout = limits.firstTokenTimeout;
-  const std::string givenUp =
-      timeout.count() > 0 ? "after " + config::formatDuration(timeout) : "at the call's deadline";
-  std::cout << "class " << limits.name << ": first token aimed at within "
-            << config::formatDuration(settings.policy.classes[index].ttftObjective) << ", given up "
-            << givenUp << "; at most " << settings.policy.maxAttempts
-            << " attempts, never two at once; answered " << config::formatDuration(settings.responseMargin)
-            << " before the client's time is up\n";
+  const std::string firstTokenWait =
+      timeout.count() > 0 ? "at most " + config::formatDuration(timeout) : "until the client's deadline";
+  std::cout << "class " << limits.name << ": first-token objective "
+            << config::formatDuration(settings.policy.classes[index].ttftObjective)
+            << ", waits for the first token " << firstTokenWait << "; at most " << settings.policy.maxAttempts
+            << " attempts, one at a time; open requests end "
+            << config::formatDuration(settings.responseMargin) << " before the client's deadline\n";
 }
 
 }  // namespace
--- a/src/daemon/commands.h
+++ b/src/daemon/commands.h
@@ -1,21 +1,21 @@
-// The program's commands. Each returns the process's exit code: 0, or 1 after a line on standard error for
-// each fault.
+// The program's commands. Each returns the process's exit code: 0, or 1 after printing one line for each
+// fault to standard error.
 #pragma once
 
 #include <string>
 
 namespace gannetcourse::daemon {
 
-/// `gannetcourse serve`: runs a node until it has drained. SIGHUP reloads, SIGTERM and SIGINT drain. Prints
-/// one line "listening PORT" to standard output once it serves.
+/// `gannetcourse serve`: runs a node until it has drained. SIGHUP reloads the settings, SIGTERM and SIGINT
+/// start the drain. Prints one line "listening PORT" to standard output once the node accepts requests.
 int runNode(const std::string& settingsPath);
 
-/// `gannetcourse platform`: runs a node on the platform's protocol, configured by the file that NODE_CONFIG
-/// names, until it has drained. SIGHUP reads that file again, SIGTERM and SIGINT drain. `recordsEnabled`: one
-/// log line for each decision.
+/// `gannetcourse platform`: runs a node with the platform's protocol until it has drained. The environment
+/// variable NODE_CONFIG is the path of its configuration. SIGHUP reloads that file, SIGTERM and SIGINT start
+/// the drain. With `recordsEnabled`, each decision is logged as one line.
 int runPlatformNode(bool recordsEnabled);
 
-/// `gannetcourse check`: prints every fault of a settings file, or what a node would do with it.
+/// `gannetcourse check`: prints every fault of a settings file, or a summary of a valid one.
 int checkSettings(const std::string& settingsPath);
 
 }  // namespace gannetcourse::daemon
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 const Duration kRetryDelay{0.25};
-constexpr int kMaxAttempts = 12;  // for one signal
+constexpr int kMaxAttempts = 12;  // for each signal
 
 }  // namespace
 
--- a/src/daemon/configuration_reloader.h
+++ b/src/daemon/configuration_reloader.h
@@ -1,4 +1,4 @@
-// The platform node's answer to SIGHUP.
+// Reloads the platform node's configuration on SIGHUP.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace gannetcourse::daemon {
 
-/// Reads the configuration again, and retries after a pause where that fails: the file may still be written
-/// when the signal comes, or may not be opened for a moment. The loop, node and log must outlive it.
+/// Loads the configuration again. Retries after a delay if that fails: the file may be incomplete when the
+/// signal arrives, or may temporarily not be readable. The loop, node and log must outlive this object.
 class ConfigurationReloader {
  public:
   ConfigurationReloader(net::Loop& loop, std::string path, platform::Node& node, Log& log);
@@ -18,7 +18,8 @@
   ConfigurationReloader(const ConfigurationReloader&) = delete;
   ConfigurationReloader& operator=(const ConfigurationReloader&) = delete;
 
-  /// Starts anew, with all attempts; logs success, and each failure that differs from the one before.
+  /// Starts a reload with the full number of attempts. Logs success, and each failure that differs from the
+  /// previous one.
   void reload();
 
  private:
--- a/src/daemon/fault_report.h
+++ b/src/daemon/fault_report.h
@@ -1,4 +1,4 @@
-// Runs a command and reports on standard error why it could not go on.
+// Runs a command and prints to standard error why it failed.
 #pragma once
 
 #include <exception>
@@ -8,7 +8,8 @@
 
 namespace gannetcourse::daemon {
 
-/// Returns 0 after `command()`, or 1 after the exception that it threw is printed, one line for each fault.
+/// Calls `command` and returns 0. If it throws, prints the exception, with one line for each fault, and
+/// returns 1.
 template <class Command>
 int runReportingFaults(const Command& command) {
   try {
--- a/src/daemon/log.cpp
+++ b/src/daemon/log.cpp
@@ -54,7 +54,7 @@
   }
   ~Impl() {
     logger_->flush();
-    pool_.reset();  // writes what is queued and ends its thread, while the logger still stands
+    pool_.reset();  // writes the queued lines and joins the thread; the logger must still exist
   }
 
   void setLevels(const std::string& level, const std::map<std::string, std::string>& packages) {
@@ -70,7 +70,7 @@
 
   void write(spdlog::level::level_enum level, const nlohmann::ordered_json& fields) {
     const std::string object = fields.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
-    logger_->log(level, spdlog::string_view_t(object.data() + 1, object.size() - 2));  // within the braces
+    logger_->log(level, spdlog::string_view_t(object.data() + 1, object.size() - 2));  // without the braces
   }
 
  private:
@@ -91,7 +91,7 @@
     impl.reset();
     written.set_value();
   });
-  // The thread may wait for its disk for ever, and what it uses must outlive it: no destructor may run.
+  // The thread may block on its disk for ever and still uses the log: _Exit runs no destructors.
   if (done.wait_for(timeout) != std::future_status::ready) std::_Exit(0);
   writer.join();
 }
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,4 +1,4 @@
-// Structured logs: a JSON object a line, levels by package, written by a thread of their own.
+// Structured log: one JSON object per line, with a level for each package, written by a separate thread.
 #pragma once
 
 #include <map>
@@ -9,30 +9,32 @@
 
 namespace gannetcourse::daemon {
 
-/// Writes never block: where the queue is full the oldest lines are dropped.
+/// Owns the queue and its writer thread. Writes never block: if the queue is full, the oldest lines are
+/// dropped.
 class Log {
  public:
   static constexpr std::size_t kDefaultQueueLines = 32768;
 
-  /// Writes to standard error where `file` is empty. `queueLines` may wait for a slow disk.
-  /// Throws std::runtime_error where the file cannot be opened.
+  /// Writes to standard error if `file` is empty. At most `queueLines` lines are queued while the disk is
+  /// slow. Throws std::runtime_error if the file cannot be opened.
   explicit Log(const std::string& file, std::size_t queueLines = kDefaultQueueLines);
-  /// Writes what is queued, however long that takes.
+  /// Writes the queued lines, without a time limit.
   ~Log();
 
-  /// Writes what is queued. Where that takes longer than `timeout`, as when nobody reads standard error, the
-  /// process ends at once with exit code 0. Nothing can be written afterwards.
+  /// Writes the queued lines. If that takes longer than `timeout`, for example because nobody reads standard
+  /// error, the process exits at once with code 0. Later writes are ignored.
   void close(Duration timeout);
 
-  /// Levels are trace, debug, info, warn and error; `packages` are exceptions from `level`.
+  /// Levels are trace, debug, info, warn, error and off; `packages` overrides `level` for single packages.
   void setLevels(const std::string& level, const std::map<std::string, std::string>& packages);
   void write(const std::string& package, const std::string& level, const std::string& text);
-  /// One decision, as of package "router": level info for what ends a request, debug for the rest.
+  /// Writes one decision under package "router": invariant violations with level error, ends of requests,
+  /// drains and reconfigurations with info, others with debug.
   void write(const router::Record& record);
 
  private:
   class Impl;
-  std::unique_ptr<Impl> impl_;  // null: closed
+  std::unique_ptr<Impl> impl_;  // null once closed
 };
 
 }  // namespace gannetcourse::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -11,14 +11,14 @@
       "gannetcourse: a router for language-model serving with prefill and decode on separate engines");
   app.require_subcommand(1);
   std::string settingsPath;
-  CLI::App* const serve = app.add_subcommand("serve", "run a node; SIGHUP reloads, SIGTERM drains");
+  CLI::App* const serve =
+      app.add_subcommand("serve", "run a node; SIGHUP reloads the settings, SIGTERM drains");
   serve->add_option("-c,--config,settings", settingsPath, "settings file (XML)")->required();
-  CLI::App* const check =
-      app.add_subcommand("check", "check a settings file and say what a node would do with it");
+  CLI::App* const check = app.add_subcommand("check", "check a settings file and summarize it");
   check->add_option("-c,--config,settings", settingsPath, "settings file (XML)")->required();
   bool recordsEnabled = false;
   CLI::App* const platform = app.add_subcommand(
-      "platform", "run a node on the platform's protocol; NODE_CONFIG names its configuration");
+      "platform", "run a node with the platform's protocol; NODE_CONFIG is the path of its configuration");
   platform->add_flag("--records", recordsEnabled, "log each decision");
   CLI::App* const version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
@@ -28,7 +28,7 @@
     return 0;
   }
   if (check->parsed()) return gannetcourse::daemon::checkSettings(settingsPath);
-  // From here on a signal waits for the node that it is meant for.
+  // Signals stay pending until the node's SignalWatcher reads them.
   gannetcourse::daemon::blockSignals();
   if (platform->parsed()) return gannetcourse::daemon::runPlatformNode(recordsEnabled);
   return gannetcourse::daemon::runNode(settingsPath);
--- a/src/daemon/node_command.cpp
+++ b/src/daemon/node_command.cpp
@@ -29,7 +29,8 @@
   return settings;
 }
 
-// A node, its log and its signals. Made in this order: signals are blocked before the log's thread starts.
+// Owns a node, its log and its signals. Order of the members: signals must be blocked before the log's thread
+// starts.
 class NodeProcess {
  public:
   explicit NodeProcess(const std::string& path)
@@ -41,12 +42,12 @@
     node_ = std::make_unique<node::Node>(loop_, settings_, randomIncarnation(), nodeHooks());
   }
 
-  // Serves until a signal has drained the node, then closes the log.
+  // Runs the node until a signal has drained it, then closes the log.
   void run() {
     std::cout << "listening " << node_->port() << std::endl;
     log_.write("daemon", "info", "listening on port " + std::to_string(node_->port()));
     loop_.run();
-    loop_.runOnce(Duration(0));  // what is written goes out
+    loop_.runOnce(Duration(0));  // sends pending output
     log_.write("daemon", "info", "drained");
     log_.close(kLogCloseTimeout);
   }
@@ -71,16 +72,17 @@
 
   void reload() {
     try {
-      const config::NodeSettings fresh = config::loadSettings(path_);
-      node_->reload(fresh);
-      log_.setLevels(fresh.logLevel, fresh.packageLogLevels);
+      const config::NodeSettings updated = config::loadSettings(path_);
+      node_->reload(updated);
+      log_.setLevels(updated.logLevel, updated.packageLogLevels);
       log_.write("daemon", "info", "settings reloaded");
     } catch (const std::exception& error) {
       log_.write("daemon", "error", std::string("reload refused, the old settings stay: ") + error.what());
     }
   }
 
-  // The first signal to drain counts. The loop stops once the node has nothing left to answer or release.
+  // Only the first signal starts a drain. The loop stops once the node has neither open requests nor pending
+  // releases.
   void drain() {
     if (draining_) return;
     draining_ = true;
@@ -89,7 +91,7 @@
   }
 
   std::string path_;
-  config::NodeSettings settings_;  // at the start; the node keeps those in service
+  config::NodeSettings settings_;  // of the start; after a reload the node has the current ones
   net::Loop loop_;
   SignalWatcher signals_;
   Log log_;
--- a/src/daemon/platform_command.cpp
+++ b/src/daemon/platform_command.cpp
@@ -17,12 +17,12 @@
 namespace gannetcourse::daemon {
 namespace {
 
-constexpr std::size_t kLogQueueLines = 256;      // a node's memory is small
-constexpr int kTrimThresholdBytes = 256 * 1024;  // free at the top of the heap, returned to the system
-const Duration kListenRetryDelay{0.05};          // after the node could not listen
-const Duration kListenRetryLimit{20};            // the process that had the address may still be ending
-const Duration kIncompleteFileRetryLimit{1};     // the rest of the configuration may still be written
-const Duration kResourceRetryLimit{5};           // for descriptors and memory
+constexpr std::size_t kLogQueueLines = 256;      // small because a platform node has little memory
+constexpr int kTrimThresholdBytes = 256 * 1024;  // free memory at the heap's top beyond this is returned
+const Duration kListenRetryDelay{0.05};          // between two attempts to listen
+const Duration kListenRetryLimit{20};  // the previous process may still hold the address while it exits
+const Duration kIncompleteFileRetryLimit{1};  // the configuration may not be completely written yet
+const Duration kResourceRetryLimit{5};        // for shortages of descriptors and memory
 const Duration kLogCloseTimeout{1};
 
 void limitHeap() {
@@ -30,25 +30,26 @@
   mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
 }
 
-template <class Make>
-auto withResources(const Make& make) {
-  return net::retryOn<std::system_error>(kResourceRetryLimit, make);
+template <class Operation>
+auto retryOnSystemError(const Operation& operation) {
+  return net::retryOn<std::system_error>(kResourceRetryLimit, operation);
 }
 
 platform::Configuration loadInitialConfiguration(const std::string& path) {
   return net::retryOn<platform::IncompleteConfiguration>(kIncompleteFileRetryLimit, [&path] {
-    return withResources([&path] { return platform::loadConfiguration(path); });
+    return retryOnSystemError([&path] { return platform::loadConfiguration(path); });
   });
 }
 
-// A node, its log and its signals. Made in this order: signals are blocked before the log's thread starts.
+// Owns a node, its log and its signals. Order of the members: signals must be blocked before the log's thread
+// starts.
 class PlatformProcess {
  public:
   explicit PlatformProcess(bool recordsEnabled)
       : path_(platform::configurationPathFromEnvironment()),
         configuration_(loadInitialConfiguration(path_)),
-        loop_(withResources([] { return std::make_unique<net::Loop>(); })),
-        signals_(withResources([this] {
+        loop_(retryOnSystemError([] { return std::make_unique<net::Loop>(); })),
+        signals_(retryOnSystemError([this] {
           return std::make_unique<SignalWatcher>(*loop_, [this](int number) { onSignal(number); });
         })),
         log_("", kLogQueueLines),
@@ -56,7 +57,7 @@
     log_.setLevels(recordsEnabled ? "debug" : "info", {});
   }
 
-  // Starts the node, serves until a signal has drained it, then closes the log.
+  // Starts the node, runs it until a signal has drained it, then closes the log.
   void run() {
     startNode();
     if (node_) serve();
@@ -64,24 +65,24 @@
   }
 
  private:
-  // Retries while the address cannot be had. Makes no node where a signal to drain comes before that.
+  // Retries while the node cannot listen at its address. Creates no node if a signal to drain arrives first.
   void startNode() {
-    const Instant giveUpAt = loop_->now() + kListenRetryLimit;
+    const Instant retryDeadline = loop_->now() + kListenRetryLimit;
     std::string lastFailure;
     while (!node_ && !drainRequested_) {
       try {
-        node_ = makeNode();
+        node_ = createNode();
       } catch (const std::system_error& error) {
-        if (loop_->now() >= giveUpAt) throw;
+        if (loop_->now() >= retryDeadline) throw;
         if (lastFailure != error.what())
-          log_.write("daemon", "warn", std::string(error.what()) + "; trying again");
+          log_.write("daemon", "warn", std::string(error.what()) + "; retrying");
         lastFailure = error.what();
         loop_->runOnce(kListenRetryDelay);
       }
     }
   }
 
-  std::unique_ptr<platform::Node> makeNode() {
+  std::unique_ptr<platform::Node> createNode() {
     const auto writeLog = [this](const std::string& package, const std::string& level,
                                  const std::string& text) { log_.write(package, level, text); };
     std::function<void(const router::Record&)> onRecord;
@@ -106,21 +107,21 @@
     }
   }
 
-  // The loop stops once the node has nothing left to answer or release.
+  // The loop stops once the node has neither open requests nor pending releases.
   void drain() {
     log_.write("daemon", "info", "draining");
     node_->drain([this] { loop_->stop(); });
   }
 
   std::string path_;
-  platform::Configuration configuration_;  // at the start; the node keeps the one in service
+  platform::Configuration configuration_;  // of the start; after a reload the node has the current one
   std::unique_ptr<net::Loop> loop_;
   std::unique_ptr<SignalWatcher> signals_;
   Log log_;
   bool recordsEnabled_;
-  bool drainRequested_ = false;  // by a signal before the node served
+  bool drainRequested_ = false;  // by a signal before the node listened
   std::unique_ptr<platform::Node> node_;
-  std::unique_ptr<ConfigurationReloader> reloader_;  // while the node serves
+  std::unique_ptr<ConfigurationReloader> reloader_;  // set once the node listens
 };
 
 }  // namespace
--- a/src/daemon/signal_watcher.cpp
+++ b/src/daemon/signal_watcher.cpp
@@ -26,8 +26,8 @@
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
 
-SignalWatcher::SignalWatcher(net::Loop& loop, std::function<void(int)> tell)
-    : loop_(loop), onSignal_(std::move(tell)) {
+SignalWatcher::SignalWatcher(net::Loop& loop, std::function<void(int)> onSignal)
+    : loop_(loop), onSignal_(std::move(onSignal)) {
   blockSignals();
   const sigset_t set = handledSignals();
   fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
--- a/src/daemon/signal_watcher.h
+++ b/src/daemon/signal_watcher.h
@@ -1,4 +1,4 @@
-// SIGHUP, SIGTERM and SIGINT as events of a loop.
+// Delivers SIGHUP, SIGTERM and SIGINT as events of a loop.
 #pragma once
 
 #include <functional>
@@ -7,15 +7,15 @@
 
 namespace gannetcourse::daemon {
 
-/// Blocks these signals: they wait until a SignalWatcher reads them. To be called first in a process, so that
-/// no signal ends it while it starts.
+/// Blocks SIGHUP, SIGTERM and SIGINT: they stay pending until a SignalWatcher reads them. Must be called
+/// early in main(), so that no signal terminates the process during its start.
 void blockSignals();
 
-/// Calls `onSignal` with the number of each such signal, from the loop. To be made before any other thread
-/// starts: threads inherit that the signals are blocked.
+/// Calls `onSignal` from the loop with the number of each received signal. Must be created before any other
+/// thread starts: threads inherit the mask that blocks the signals. The loop must outlive it.
 class SignalWatcher final : private net::Watcher {
  public:
-  /// Throws std::system_error where no descriptor can be had.
+  /// Throws std::system_error if no descriptor is available.
   SignalWatcher(net::Loop& loop, std::function<void(int)> onSignal);
   ~SignalWatcher() override;
   SignalWatcher(const SignalWatcher&) = delete;
--- a/src/discovery/engine_list_file.cpp
+++ b/src/discovery/engine_list_file.cpp
@@ -70,7 +70,8 @@
     list.engines.push_back(readEngine(element, resolver, faults));
     const EngineId id = list.engines.back().entry.id;
     if (!ids.insert(id).second)
-      faults.push_back(element.fault("engine " + std::to_string(id.value) + " is there twice", "remove one"));
+      faults.push_back(
+          element.fault("engine " + std::to_string(id.value) + " is defined more than once", "remove one"));
   }
   if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return list;
--- a/tests/check_file_length.sh
+++ b/tests/check_file_length.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Files stay readable: at most 400 lines of at most 110 columns each, 120 in Python.
+# Fails for each file with more than 400 lines, or with lines of more than 110 columns (120 in Python files).
+# usage: check_file_length.sh FILE...
 set -euo pipefail
 max_lines=400
 
@@ -10,9 +11,9 @@
     *) max_columns=110 ;;
   esac
   lines=$(wc -l < "$file")
-  wide=$(awk -v max="$max_columns" 'length($0) > max' "$file" | wc -l)
-  if [ "$lines" -gt "$max_lines" ] || [ "$wide" -gt 0 ]; then
-    echo "$file: $lines lines, $max_lines at most; $wide over $max_columns columns"
+  wide_lines=$(awk -v max="$max_columns" 'length($0) > max' "$file" | wc -l)
+  if [ "$lines" -gt "$max_lines" ] || [ "$wide_lines" -gt 0 ]; then
+    echo "$file: $lines lines, must have at most $max_lines; $wide_lines lines over $max_columns columns"
     status=1
   fi
 done
--- a/tests/check_file_length_test.sh
+++ b/tests/check_file_length_test.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The length check accepts files at their limits and refuses one past it or with a wide line.
+# Tests check_file_length.sh: it accepts files at the limits and rejects files with too many lines or too wide lines.
 set -euo pipefail
 check="$(dirname "$0")/check_file_length.sh"
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-# No file is excepted by its name.
+# No file name is exempt from the limit.
 for name in longest.cpp policy.cpp core.cpp; do
   seq -f '// line %g' 400 > "$folder/$name"
   bash "$check" "$folder/$name"
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,5 @@
-// Settings: each fault has file, line, reason and remedy; what would break a rule names that rule.
+// Tests reading, checking, comparing and merging settings. Each fault must have file, line, reason and
+// remedy, and the rule that the setting would break.
 #include <gtest/gtest.h>
 
 #include "config/reload.h"
@@ -8,7 +9,7 @@
 namespace gannetcourse::config {
 namespace {
 
-// The parts of a settings file; a test replaces some.
+// The elements of a valid settings file; tests replace some of them.
 struct SettingsParts {
   std::string node = "<node name='n1' zone='north' nodes='3'/>";
   std::string listen = "<listen grpc='127.0.0.1:0'/>";
@@ -32,7 +33,7 @@
   return {};
 }
 
-TEST(Settings, AreReadWithTheirUnits) {
+TEST(SettingsTest, ReadsValuesWithUnits) {
   SettingsParts parts;
   parts.rest =
       "<limits max-attempts='6' pin-limit='500ms' drain-grace='1s' worth-by='work'/>"
@@ -55,62 +56,64 @@
 
 struct InvalidCase {
   const char* name;
-  void (*spoil)(SettingsParts&);
+  void (*makeInvalid)(SettingsParts&);
   int line;
-  const char* fragment;  // of the fault's text
+  const char* expectedText;  // must be part of the fault's text
 };
 
-class InvalidSettings : public ::testing::TestWithParam<InvalidCase> {};
+class InvalidSettingsTest : public ::testing::TestWithParam<InvalidCase> {};
 
-TEST_P(InvalidSettings, AreReportedWithLineAndRemedy) {
+TEST_P(InvalidSettingsTest, ReportsFileLineReasonAndRemedy) {
   SettingsParts parts;
-  GetParam().spoil(parts);
+  GetParam().makeInvalid(parts);
   const auto faults = parseFaults(parts.text());
   ASSERT_FALSE(faults.empty());
   const Fault& fault = faults.front();
   EXPECT_EQ(fault.file, "node.xml");
   EXPECT_EQ(fault.line, GetParam().line) << fault.text();
-  EXPECT_NE(fault.text().find(GetParam().fragment), std::string::npos) << fault.text();
+  EXPECT_NE(fault.text().find(GetParam().expectedText), std::string::npos) << fault.text();
   EXPECT_FALSE(fault.remedy.empty()) << fault.text();
-  EXPECT_EQ(fault.text().find('\n'), std::string::npos) << "one line";
+  EXPECT_EQ(fault.text().find('\n'), std::string::npos) << "a fault's text must be one line";
 }
 
 const InvalidCase kInvalidCases[] = {
-    {"no_unit", [](SettingsParts& p) { p.classes = "<classes><class name='q' aim='15'/></classes>"; }, 5,
-     "250ms"},
+    {"duration_without_unit",
+     [](SettingsParts& p) { p.classes = "<classes><class name='q' aim='15'/></classes>"; }, 5, "250ms"},
     {"unknown_attribute", [](SettingsParts& p) { p.listen = "<listen grpc='127.0.0.1:0' port='1'/>"; }, 3,
      "remove it"},
     {"unknown_element", [](SettingsParts& p) { p.rest = "<limit/>"; }, 7, "limit"},
-    {"missing_fleet", [](SettingsParts& p) { p.fleet = ""; }, 1, "add the missing element"},
-    {"two_sources", [](SettingsParts& p) { p.fleet = "<fleet registry='127.0.0.1:1' file='x'/>"; }, 6,
-     "one source"},
-    {"not_xml", [](SettingsParts& p) { p.zones = "<zones><zone name='north'></zones>"; }, 4, "XML"},
-    {"foreign_zone", [](SettingsParts& p) { p.node = "<node name='n' zone='east'/>"; }, 2,
+    {"missing_fleet_element", [](SettingsParts& p) { p.fleet = ""; }, 1, "add the missing element"},
+    {"two_engine_list_sources",
+     [](SettingsParts& p) { p.fleet = "<fleet registry='127.0.0.1:1' file='x'/>"; }, 6, "exactly one source"},
+    {"malformed_xml", [](SettingsParts& p) { p.zones = "<zones><zone name='north'></zones>"; }, 4, "XML"},
+    {"unknown_zone_of_node", [](SettingsParts& p) { p.node = "<node name='n' zone='east'/>"; }, 2,
      "not one of <zones>"},
-    {"class_twice",
+    {"duplicate_class",
      [](SettingsParts& p) {
        p.classes = "<classes><class name='q' aim='1s'/>\n<class name='q' aim='1s'/></classes>";
      },
-     6, "twice"},
-    {"keyed_without_window",
+     6, "is defined more than once"},
+    {"keyed_class_without_dedup_window",
      [](SettingsParts& p) { p.classes = "<classes><class name='q' aim='1s' effect='keyed'/></classes>"; }, 5,
      "rule 2"},
-    {"no_time_to_answer",
+    {"first_token_timeout_within_answer_margin",
      [](SettingsParts& p) {
        p.classes = "<classes><class name='q' aim='10ms' first-token-within='90ms'/></classes>";
      },
      5, "rule 1"},
-    {"margin_of_nothing", [](SettingsParts& p) { p.rest = "<limits answer-margin='1ms'/>"; }, 7, "rule 1"},
-    {"connects_past_the_grace",
+    {"answer_margin_below_minimum", [](SettingsParts& p) { p.rest = "<limits answer-margin='1ms'/>"; }, 7,
+     "rule 1"},
+    {"connect_timeout_longer_than_drain_grace",
      [](SettingsParts& p) { p.rest = "<limits drain-grace='100ms'/><engines connect-timeout='250ms'/>"; }, 7,
      "rule 3"},
-    {"cold_without_window", [](SettingsParts& p) { p.rest = "<cold-start window='20s' warm-after='10s'/>"; },
-     7, "rule 4"},
-    {"cold_without_capacity", [](SettingsParts& p) { p.rest = "<cold-start start-capacity='0'/>"; }, 7,
+    {"slow_start_shorter_than_its_window",
+     [](SettingsParts& p) { p.rest = "<cold-start window='20s' warm-after='10s'/>"; }, 7, "rule 4"},
+    {"slow_start_without_capacity", [](SettingsParts& p) { p.rest = "<cold-start start-capacity='0'/>"; }, 7,
      "rule 4"},
-    {"pins_too_short", [](SettingsParts& p) { p.rest = "<limits pin-limit='50ms'/>"; }, 7, "rule 5"},
-    {"one_attempt", [](SettingsParts& p) { p.rest = "<limits max-attempts='1'/>"; }, 7, "a read and a write"},
-    {"shares_over_one",
+    {"pin_limit_below_minimum", [](SettingsParts& p) { p.rest = "<limits pin-limit='50ms'/>"; }, 7, "rule 5"},
+    {"max_attempts_below_minimum", [](SettingsParts& p) { p.rest = "<limits max-attempts='1'/>"; }, 7,
+     "one prefill and one decode"},
+    {"tenant_shares_above_one",
      [](SettingsParts& p) {
        p.rest = "<tenants><tenant name='a' share='0.7'/><tenant name='b' share='0.7'/></tenants>";
      },
@@ -121,19 +124,19 @@
      "a.b.c.d:port"},
 };
 
-INSTANTIATE_TEST_SUITE_P(Corpus, InvalidSettings, ::testing::ValuesIn(kInvalidCases),
+INSTANTIATE_TEST_SUITE_P(EachFault, InvalidSettingsTest, ::testing::ValuesIn(kInvalidCases),
                          [](const auto& info) { return info.param.name; });
 
-TEST(Settings, AMissingFileIsReportedByName) {
+TEST(SettingsTest, ReportsPathOfMissingFile) {
   try {
     loadSettings("/nowhere/node.xml");
-    FAIL() << "a file that is not there was read";
+    FAIL() << "loading a missing file must throw";
   } catch (const InvalidFile& invalid) {
     EXPECT_NE(std::string(invalid.what()).find("/nowhere/node.xml"), std::string::npos);
   }
 }
 
-TEST(Settings, DifferencesAreDescribed) {
+TEST(SettingsTest, DescribesDifferencesAndFindsThoseThatNeedRestart) {
   SettingsParts before, after;
   after.classes =
       "<classes><class name='query' aim='1s' token-aim='60ms' first-token-within='6s' worth='3'/></classes>";
@@ -148,37 +151,39 @@
   EXPECT_EQ(firstRestartOnlyDifference(a, parseSettings(after.text(), "b")), "limits answer-margin");
 }
 
-// Classes keep their indices for as long as the node runs; a class that changes gets a new one, and its
-// earlier one when the earlier file is loaded again.
-TEST(Settings, IndicesOfClassesAndTenantsOutliveReloads) {
-  SettingsParts one, two;
-  two.classes =
+// Accepted requests refer to their class by index. If a reload reused an index for another class, they would
+// be finished under the wrong objectives. Reloading an earlier file must restore the earlier indices.
+TEST(SettingsTest, ReloadKeepsIndicesOfClasses) {
+  SettingsParts first, second;
+  second.classes =
       "<classes><class name='order' aim='2s' effect='unsafe'/>"
       "<class name='query' aim='3s' token-aim='60ms' first-token-within='6s'/></classes>";
-  const NodeSettings a = parseSettings(one.text(), "a"), b = parseSettings(two.text(), "b");
+  const NodeSettings a = parseSettings(first.text(), "a"), b = parseSettings(second.text(), "b");
   const NodeSettings merged = mergeForReload(a, b);
   ASSERT_EQ(merged.classes.size(), a.classes.size() + 2);
   EXPECT_EQ(findClassInService(merged, "order"), a.classes.size());
   EXPECT_EQ(findClassInService(merged, "query"), a.classes.size() + 1);
   EXPECT_FALSE(merged.policy.classes[0].inService);
   EXPECT_EQ(merged.policy.classes[0].ttftObjective, a.policy.classes[0].ttftObjective);
-  const NodeSettings back = mergeForReload(merged, a);
-  EXPECT_EQ(back.classes.size(), merged.classes.size()) << "the way back takes no new index";
-  EXPECT_EQ(findClassInService(back, "query"), 0u);
-  EXPECT_FALSE(findClassInService(back, "order"));
-  EXPECT_EQ(firstRestartOnlyDifference(a, b), "") << "classes change in service";
+  const NodeSettings restored = mergeForReload(merged, a);
+  EXPECT_EQ(restored.classes.size(), merged.classes.size())
+      << "reloading the earlier file must not add an index";
+  EXPECT_EQ(findClassInService(restored, "query"), 0u);
+  EXPECT_FALSE(findClassInService(restored, "order"));
+  EXPECT_EQ(firstRestartOnlyDifference(a, b), "") << "a changed class must not need a restart";
   const auto lines = describeDifferences(a, b);
   ASSERT_FALSE(lines.empty());
   EXPECT_NE(lines[0].find("order (aim 2s"), std::string::npos) << lines[0];
   EXPECT_NE(lines[0].find("unsafe"), std::string::npos) << lines[0];
 }
 
-TEST(Units, OfDurationsAndSizes) {
+TEST(UnitsTest, ParsesAndFormatsDurationsAndSizes) {
   EXPECT_DOUBLE_EQ(parseDuration("250ms")->count(), 0.25);
   EXPECT_DOUBLE_EQ(parseDuration("1.5s")->count(), 1.5);
   EXPECT_DOUBLE_EQ(parseDuration("2min")->count(), 120);
   EXPECT_DOUBLE_EQ(parseDuration("40us")->count(), 4e-5);
-  for (const char* bad : {"", "5", "s", "-1s", "1 s", "1h", "nans"}) EXPECT_FALSE(parseDuration(bad)) << bad;
+  for (const char* malformed : {"", "5", "s", "-1s", "1 s", "1h", "nans"})
+    EXPECT_FALSE(parseDuration(malformed)) << malformed;
   EXPECT_EQ(parseBytes("32KiB"), 32768u);
   EXPECT_EQ(parseBytes("100"), 100u);
   EXPECT_FALSE(parseBytes("1KB"));
--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -1,4 +1,4 @@
-// The daemon as a process: signals, exit codes, files.
+// Tests the router program as a process: signals, exit codes and files.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -16,7 +16,7 @@
 namespace gannetcourse::lab {
 namespace {
 
-constexpr double kWaitLimit = 20;  // seconds; only a broken program needs them
+constexpr double kWaitLimit = 20;  // seconds; much longer than a correct program needs
 
 struct CommandResult {
   int code = -1;
@@ -82,8 +82,8 @@
     return done();
   }
 
-  // Whether a node that is given these settings by SIGHUP logs this text.
-  bool reloads(pid_t node, const std::string& text, const std::string& logText) {
+  // Writes the settings, sends SIGHUP to the node and returns whether its log then contains `logText`.
+  bool reloadLogs(pid_t node, const std::string& text, const std::string& logText) {
     file("node.xml", text);
     ::kill(node, SIGHUP);
     return waitUntil([&] { return read("node.log").find(logText) != std::string::npos; });
@@ -118,22 +118,25 @@
   std::vector<Call> prefills, decodes;
 };
 
-TEST_F(DaemonTest, PrintsItsVersionAndChecksFiles) {
+// `check` and `serve` must report the same fault of a settings file, on one line, and exit with code 1.
+TEST_F(DaemonTest, PrintsVersionAndReportsFaultsOfSettings) {
   EXPECT_EQ(run("version").out.rfind("gannetcourse ", 0), 0u);
-  const CommandResult good = run("check " + file("good.xml", settings()));
-  EXPECT_EQ(good.code, 0);
-  EXPECT_NE(good.out.find("usable"), std::string::npos) << good.out;
-  const CommandResult bad = run("check " + file("bad.xml", settings("<limits pin-limit='10ms'/>")));
-  EXPECT_EQ(bad.code, 1);
-  EXPECT_NE(bad.out.find("bad.xml:1: rule 5"), std::string::npos) << bad.out;
-  EXPECT_EQ(std::count(bad.out.begin(), bad.out.end(), '\n'), 1) << bad.out;
-  const CommandResult refused = run("serve " + (folder / "bad.xml").string());
-  EXPECT_EQ(refused.code, 1);
-  EXPECT_EQ(refused.out, bad.out);
+  const CommandResult valid = run("check " + file("good.xml", settings()));
+  EXPECT_EQ(valid.code, 0);
+  EXPECT_NE(valid.out.find("usable"), std::string::npos) << valid.out;
+  const CommandResult invalid = run("check " + file("bad.xml", settings("<limits pin-limit='10ms'/>")));
+  EXPECT_EQ(invalid.code, 1);
+  EXPECT_NE(invalid.out.find("bad.xml:1: rule 5"), std::string::npos) << invalid.out;
+  EXPECT_EQ(std::count(invalid.out.begin(), invalid.out.end(), '\n'), 1) << invalid.out;
+  const CommandResult rejected = run("serve " + (folder / "bad.xml").string());
+  EXPECT_EQ(rejected.code, 1);
+  EXPECT_EQ(rejected.out, invalid.out);
   EXPECT_NE(run("frobnicate").code, 0);
 }
 
-TEST_F(DaemonTest, SigtermFinishesStreamsAndPrefillsBeforeTheExit) {
+// A drain must not end requests that are in flight: one is streaming and one in its prefill when SIGTERM
+// arrives.
+TEST_F(DaemonTest, SigtermFinishesRequestsInFlightBeforeExit) {
   const auto node = startProcess(GANNETCOURSE, folder.string(), "node", settings("<log level='debug'/>"));
   grpc::Channel channel(loop, {"127.0.0.1", node->port()});
   const auto streaming = generate(channel);
@@ -159,10 +162,12 @@
     EXPECT_NE(log.find("\"action\":\"" + std::string(action) + "\""), std::string::npos) << action;
 }
 
-TEST_F(DaemonTest, AFailedReloadKeepsTheOldSettingsWithOneLine) {
+// A reload fails for malformed XML, a broken rule or a setting that needs a restart. The node must keep its
+// settings and log the reason; a later valid reload must not affect a request in flight.
+TEST_F(DaemonTest, FailedReloadKeepsOldSettingsAndLogsReason) {
   const auto node = startProcess(GANNETCOURSE, folder.string(), "node", settings());
   const auto reload = [&](const std::string& text, const std::string& logText) {
-    return reloads(node->pid(), text, logText);
+    return reloadLogs(node->pid(), text, logText);
   };
   EXPECT_TRUE(reload("<gannetcourse", "reload refused, the old settings stay: "));
   EXPECT_TRUE(reload(settings("<limits answer-margin='1ms'/>"), "rule 1"));
@@ -175,41 +180,44 @@
   replyToPrefill(prefills[0]);
   ASSERT_TRUE(waitUntil([&] { return decodes.size() == 1; }));
   decodes[0]->finish({});
-  ASSERT_TRUE(waitUntil([&] { return response->end.has_value(); })) << "a reload costs no request";
+  ASSERT_TRUE(waitUntil([&] { return response->end.has_value(); }))
+      << "a reload must not end a request in flight";
   EXPECT_EQ(response->end->status.code, grpc::Code::kOk);
   node->drain();
   EXPECT_TRUE(waitUntil([&] { return node->ended(); }));
   EXPECT_TRUE(node->endedWell());
 }
 
-TEST_F(DaemonTest, AReloadToOtherClassesIsLoggedAndCanBeUndone) {
+// A request in flight is finished under its class even if a reload removes that class; new requests of the
+// class are rejected until another reload restores it.
+TEST_F(DaemonTest, ReloadReplacesClassesAndCanBeReverted) {
   const auto node = startProcess(GANNETCOURSE, folder.string(), "node", settings());
   const auto reload = [&](const std::string& text, const std::string& logText) {
-    return reloads(node->pid(), text, logText);
+    return reloadLogs(node->pid(), text, logText);
   };
   grpc::Channel channel(loop, {"127.0.0.1", node->port()});
   const auto response = generate(channel);
   ASSERT_TRUE(waitUntil([&] { return prefills.size() == 1; }));
-  std::string moved = settings("<limits max-attempts='6'/>");
-  moved.replace(moved.find("name='query'"), 12, "name='booking' effect='unsafe'");
-  EXPECT_TRUE(reload(moved, "limits max-attempts: 4 -> 6"));
+  std::string otherClasses = settings("<limits max-attempts='6'/>");
+  otherClasses.replace(otherClasses.find("name='query'"), 12, "name='booking' effect='unsafe'");
+  EXPECT_TRUE(reload(otherClasses, "limits max-attempts: 4 -> 6"));
   EXPECT_TRUE(waitUntil([&] { return read("node.log").find("settings reloaded") != std::string::npos; }));
   replyToPrefill(prefills[0]);
   ASSERT_TRUE(waitUntil([&] { return decodes.size() == 1; }));
   decodes[0]->finish({});
   ASSERT_TRUE(waitUntil([&] { return response->end.has_value(); }));
   EXPECT_EQ(response->end->status.code, grpc::Code::kOk);
-  const auto old = generate(channel);
-  ASSERT_TRUE(waitUntil([&] { return old->end.has_value(); }));
-  EXPECT_EQ(old->end->status.code, grpc::Code::kInvalidArgument);
+  const auto rejected = generate(channel);
+  ASSERT_TRUE(waitUntil([&] { return rejected->end.has_value(); }));
+  EXPECT_EQ(rejected->end->status.code, grpc::Code::kInvalidArgument);
   EXPECT_TRUE(reload(settings(), "limits max-attempts: 6 -> 4"));
-  const auto again = generate(channel);
+  const auto accepted = generate(channel);
   ASSERT_TRUE(waitUntil([&] { return prefills.size() == 2; }));
   replyToPrefill(prefills[1]);
   ASSERT_TRUE(waitUntil([&] { return decodes.size() == 2; }));
   decodes[1]->finish({});
-  ASSERT_TRUE(waitUntil([&] { return again->end.has_value(); }));
-  EXPECT_EQ(again->end->status.code, grpc::Code::kOk);
+  ASSERT_TRUE(waitUntil([&] { return accepted->end.has_value(); }));
+  EXPECT_EQ(accepted->end->status.code, grpc::Code::kOk);
   node->drain();
   EXPECT_TRUE(waitUntil([&] { return node->ended(); }));
   EXPECT_TRUE(node->endedWell());
--- a/tests/run_tests_test.sh
+++ b/tests/run_tests_test.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The list of known failures passes over what it names and nothing else.
+# Tests run_tests.sh: it ignores failures of the listed tests and of no others, and rejects an invalid list.
 set -uo pipefail
 script=$1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-# A stand-in for ctest: four tests, those in FAILING fail.
+# A fake ctest with four tests; those in FAILING fail. It exits with CODE if that is set.
 cat > "$folder/ctest" <<'STAND_IN'
 #!/usr/bin/env bash
 tests=(Life.Ends Watch.Silent Cold.Sum Edge.Half)
@@ -23,38 +23,39 @@
 STAND_IN
 chmod +x "$folder/ctest"
 
-wrong=0
-# expect CODE TEXT: runs with what stands in $folder/red
+failed=0
+# expect CODE TEXT: runs the script with the list $folder/known-failures; it must exit with CODE and print TEXT
 expect() {
   local out code
-  out=$(bash "$script" "$folder/red" "$folder/ctest" 2>&1)
+  out=$(bash "$script" "$folder/known-failures" "$folder/ctest" 2>&1)
   code=$?
   if [ "$code" -ne "$1" ] || ! grep -qF -- "$2" <<< "$out"; then
-    echo "with FAILING='$FAILING' and list '$(cat "$folder/red" 2>/dev/null)': code $code, wanted $1 and '$2' in:"
+    echo "with FAILING='$FAILING' and list '$(cat "$folder/known-failures" 2>/dev/null)':"
+    echo "exit code $code, expected $1, and '$2' in this output:"
     echo "$out"
-    wrong=1
+    failed=1
   fi
 }
 export FAILING=""
 expect 0 ""
 FAILING="Cold.Sum"
 expect 1 "failed: Cold.Sum"
-echo "Cold.Sum, sums are too large, issue 24" > "$folder/red"
-expect 0 "known red, passed over: Cold.Sum"
-expect 0 "known red: Cold.Sum, sums are too large, issue 24"
+echo "Cold.Sum, sums are too large, issue 24" > "$folder/known-failures"
+expect 0 "known failure, ignored: Cold.Sum"
+expect 0 "known failure: Cold.Sum, sums are too large, issue 24"
 FAILING="Cold.Sum Edge.Half"
 expect 1 "failed: Edge.Half"
 FAILING=""
-expect 0 "known red passes now, its line has to go: Cold.Sum"
-echo "No.Such, cause, issue 24" > "$folder/red"
-expect 1 "'No.Such' is no test"
-echo "Cold.Sum" > "$folder/red"
-expect 1 "a line is not 'test, cause, issue'"
-echo "Cold.Sum, no issue is named, none" > "$folder/red"
-expect 1 "a line is not 'test, cause, issue'"
-for t in Life.Ends Watch.Silent Cold.Sum Edge.Half; do echo "$t, cause, issue 1"; done > "$folder/red"
-expect 1 "4 lines, 3 at most"
-rm "$folder/red"
+expect 0 "known failure passes now, remove its line: Cold.Sum"
+echo "No.Such, cause, issue 24" > "$folder/known-failures"
+expect 1 "'No.Such' must be the name of an existing test"
+echo "Cold.Sum" > "$folder/known-failures"
+expect 1 "line must be 'test, cause, issue'"
+echo "Cold.Sum, no issue is named, none" > "$folder/known-failures"
+expect 1 "line must be 'test, cause, issue'"
+for t in Life.Ends Watch.Silent Cold.Sum Edge.Half; do echo "$t, cause, issue 1"; done > "$folder/known-failures"
+expect 1 "the list has 4 lines, must have at most 3"
+rm "$folder/known-failures"
 export CODE=5
-expect 1 "the tests ended with 5"
-exit "$wrong"
+expect 1 "the test command exited with code 5"
+exit "$failed"
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Stored data of earlier versions is read by this one: samples recorded with version d0b718d, before names
-// changed.
+// Tests that data stored by earlier versions can be read. The samples were recorded with version d0b718d,
+// before names in the code changed.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -15,20 +15,21 @@
 
 const std::string kData = TEST_DATA;
 
-std::string contentOf(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ostringstream content;
   content << std::ifstream(path).rdbuf();
   return content.str();
 }
 
-std::string bytesOfHex(const std::string& digits) {
+std::string decodeHex(const std::string& digits) {
   std::string bytes;
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2)
     bytes.push_back(static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16)));
   return bytes;
 }
 
-TEST(StoredDataTest, ASavedEngineListIsReadAndWrittenAlike) {
+// A node reads its saved engine list at startup, also after an upgrade: names and format must not change.
+TEST(StoredDataTest, ReadsSavedEngineListAndWritesItUnchanged) {
   const std::string path = kData + "/saved-engine-list.xml";
   const discovery::EntryResolver resolver({"north", "south"}, Instant{}, 0);
   const discovery::EngineList list = discovery::loadEngineListFile(path, resolver);
@@ -45,12 +46,14 @@
   EXPECT_EQ(draining.startedUnixMs, 1790000000000);
   EXPECT_EQ(draining.shutdownUnixMs, 1790000060000);
   EXPECT_EQ(list.engines[2].zone, "a \"quoted\" <zone>");
-  EXPECT_EQ(discovery::formatEngineList(list), contentOf(path));
+  EXPECT_EQ(discovery::formatEngineList(list), readFile(path));
 }
 
-TEST(StoredDataTest, AResumeTokenIsOpened) {
+// Clients present resume tokens that an earlier version sealed: the seal and the message format must not
+// change.
+TEST(StoredDataTest, OpensResumeTokenOfEarlierVersion) {
   const auto sealer = resume::Sealer::parse("old " + std::string(64, '1') + "\n", "keys");
-  const auto opened = sealer.open(bytesOfHex(contentOf(kData + "/resume-token.hex")));
+  const auto opened = sealer.open(decodeHex(readFile(kData + "/resume-token.hex")));
   ASSERT_TRUE(opened);
   v1::ResumePoint point;
   ASSERT_TRUE(point.ParseFromString(*opened));
