--- a/src/discovery/engine_list_file.cpp
+++ b/src/discovery/engine_list_file.cpp
@@ -72,7 +72,7 @@
     const EngineId id = list.engines.back().entry.id;
     if (!ids.insert(id).second)
       faults.push_back(
-          element.fault("engine " + std::to_string(id.value) + " is listed twice", "remove one"));
+          element.fault("engine " + std::to_string(id.value) + " is defined more than once", "remove one"));
   }
   if (!faults.empty()) throw config::InvalidFile(std::move(faults));
   return list;
