--- a/lab/fake_engine.h
+++ b/lab/fake_engine.h
@@ -157,7 +157,7 @@
   };
   std::unordered_map<std::string, Fence> fences_;
   double pruneAt_ = 0;
-  std::uint64_t lastHandle_ = 0;
+  std::uint64_t lastId_ = 0;
   std::int64_t startedUnixMs_ = 0;
   bool crashed_ = false, silent_ = false, failedFromOverload_ = false;
   double throttleLeft_ = 1, throttleAt_ = 0;
--- a/lab/fake_engine_calls.cpp
+++ b/lab/fake_engine_calls.cpp
@@ -63,7 +63,7 @@
 std::optional<std::uint64_t> FakeEngine::admit(const Call& call, const AttemptInfo& attempt) {
   const double now = testbed_.now();
   const EngineAttemptKey key = recordAttempt(call, attempt);
-  const std::uint64_t handle = ++lastHandle_;
+  const std::uint64_t handle = ++lastId_;
   openCalls_[handle] = {call, key, {}, nullptr, attempt.request, attempt.attempt, 0, 0};
   call->onClosed = [this, handle, alive = alive_] {
     if (*alive) onCallClosed(handle);
@@ -173,7 +173,7 @@
   job.prefixTokens = request.prefix_tokens();
   job.onDone = [this, call, attempt](double cachedTokens) {
     if (!call->isOpen()) return;
-    const std::string state = std::to_string(model_.spec().id) + "/" + std::to_string(++lastHandle_);
+    const std::string state = std::to_string(model_.spec().id) + "/" + std::to_string(++lastId_);
     states_[state] = {attempt.request, attempt.attempt, attempt.promptTokens, call->connectionId(), false};
     model_.addState(attempt.promptTokens);
     testbed_.ledger.onPromptPrefilled(attempt.id, attempt.promptTokens - cachedTokens);
