--- a/tests/daemon_test.cpp
+++ b/tests/daemon_test.cpp
@@ -153,7 +153,7 @@
   ASSERT_TRUE(waitUntil([&] { return decodes.size() == 2; }));
   decodes[1]->finish({});
   ASSERT_TRUE(waitUntil([&] { return node->ended(); }));
-  EXPECT_TRUE(node->endedWell());
+  EXPECT_TRUE(node->exitedCleanly());
   ASSERT_TRUE(waitUntil([&] { return streaming->end && prefilling->end; }));
   EXPECT_EQ(streaming->end->status.code, grpc::Code::kOk);
   EXPECT_EQ(prefilling->end->status.code, grpc::Code::kOk);
@@ -185,7 +185,7 @@
   EXPECT_EQ(response->end->status.code, grpc::Code::kOk);
   node->drain();
   EXPECT_TRUE(waitUntil([&] { return node->ended(); }));
-  EXPECT_TRUE(node->endedWell());
+  EXPECT_TRUE(node->exitedCleanly());
 }
 
 // A request in flight is finished under its class even if a reload removes that class; new requests of the
@@ -220,7 +220,7 @@
   EXPECT_EQ(accepted->end->status.code, grpc::Code::kOk);
   node->drain();
   EXPECT_TRUE(waitUntil([&] { return node->ended(); }));
-  EXPECT_TRUE(node->endedWell());
+  EXPECT_TRUE(node->exitedCleanly());
 }
 
 }  // namespace
