--- a/tests/client_endings_test.cpp
+++ b/tests/client_endings_test.cpp
@@ -1,4 +1,4 @@
-// Clients that leave or are evicted while something is pending for them. In stepped time.
+// Tests of clients that disconnect or are evicted while requests of theirs are pending, in simulated time.
 #include "endings_fixture.h"
 
 namespace gannetcourse::platform {
@@ -8,19 +8,19 @@
 
 class ClientEndingsTest : public EndingsTest {};
 
-TEST_F(ClientEndingsTest, DisconnectsWhileItsRequestWaitsForAConnection) {
+TEST_F(ClientEndingsTest, DropsRequestWhenClientDisconnectsBeforeEngineConnectionOpens) {
   UnresponsivePort slow;
   startNode([&](Json& json) { json["known"]["endpoints"][0]["address"] = slow.address(); });
   const auto peer = sendFromNewClient(chatRequest("dialling"));
-  ASSERT_TRUE(happensWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
+  ASSERT_TRUE(becomesTrueWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
   peer->connection.close();
-  EXPECT_TRUE(obligationsEnd());
+  EXPECT_TRUE(obligationsComplete());
   EXPECT_EQ(node->engineClient().openCallCount(), 0U);
-  EXPECT_TRUE(happensWithin(4, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
+  EXPECT_TRUE(becomesTrueWithin(4, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
   EXPECT_EQ(attemptCount(decodeEngine), 0U);
 }
 
-TEST_F(ClientEndingsTest, DisconnectsInTheTurnInWhichItsAttemptFails) {
+TEST_F(ClientEndingsTest, DoesNotRetryWhenClientDisconnectsAsAttemptFails) {
   startNode();
   std::shared_ptr<Peer> peer;
   prefillEngine.script = [&](Peer& p, const http1::Request& r) {
@@ -29,56 +29,58 @@
     peer->connection.close();
   };
   peer = sendFromNewClient(chatRequest("turn"));
-  ASSERT_TRUE(happensWithin(1, [&] { return attemptCount(prefillEngine) >= 1; }));
-  EXPECT_TRUE(obligationsEnd());
-  const std::size_t then = attemptCount(prefillEngine);
+  ASSERT_TRUE(becomesTrueWithin(1, [&] { return attemptCount(prefillEngine) >= 1; }));
+  EXPECT_TRUE(obligationsComplete());
+  const std::size_t attemptsBefore = attemptCount(prefillEngine);
   advance(2);
-  EXPECT_EQ(attemptCount(prefillEngine), then);
+  EXPECT_EQ(attemptCount(prefillEngine), attemptsBefore);
 }
 
-TEST_F(ClientEndingsTest, DisconnectsWhileItsNextRequestWaitsBehindAnother) {
+TEST_F(ClientEndingsTest, DropsPipelinedRequestWhenClientDisconnects) {
   startNode();
   const auto peer = startStream("first");
   peer->send(chatRequest("second"));
   runUntilIdle();
   const std::size_t before = attemptCount(prefillEngine);
   peer->connection.close();
-  EXPECT_TRUE(obligationsEnd());
+  EXPECT_TRUE(obligationsComplete());
   advance(1);
   EXPECT_EQ(attemptCount(prefillEngine), before);
 }
 
-// Past the limit the client has to wait: its request that is being answered continues.
-TEST_F(ClientEndingsTest, WhatComesPastTheLimitBehindARequestDoesNotEndIt) {
+// A client may pipeline only a limited number of bytes behind an open request. Bytes beyond the limit must
+// stay unread instead of ending the open request.
+TEST_F(ClientEndingsTest, ContinuesOpenRequestWhenPipelinedBytesExceedLimit) {
   startNode();
   const auto stream = startStream("open");
-  const std::string piece(1 << 16, 'x');
+  const std::string block(1 << 16, 'x');
   for (int i = 0; i < 64; ++i) {  // 4 MiB
-    stream->send(piece);
+    stream->send(block);
     runUntilIdle();
   }
   EXPECT_FALSE(stream->closed);
   EXPECT_EQ(node->core().openRequests(), 1U);
   EXPECT_EQ(node->engineClient().openCallCount(), 1U);
   latestDecodePeer().send(chunkOf(kDone) + "0\r\n\r\n");
-  EXPECT_TRUE(happensWithin(1, [&] { return stream->hasReceived("0\r\n\r\n"); }));
+  EXPECT_TRUE(becomesTrueWithin(1, [&] { return stream->hasReceived("0\r\n\r\n"); }));
 }
 
-// A request whose last bytes are with the kernel has been taken.
-TEST_F(ClientEndingsTest, ARequestThatTheKernelHoldsIsReadBeforeItsConnectionIsEvicted) {
+// At its connection limit the server evicts an idle connection. It must first read what the kernel has
+// received, or it would drop a complete request.
+TEST_F(ClientEndingsTest, ReadsRequestFromKernelBeforeEvictingItsConnection) {
   http1::ServerOptions options;
   options.maxConnections = 1;
   http1::Server server(loop, {}, options, [](const std::shared_ptr<http1::Exchange>& exchange) {
     exchange->respond(200, "", "", true);
   });
-  RawSocket pieces, another;
-  ASSERT_TRUE(pieces.connect(server.port()));
-  pieces.send("GET / HTTP/1.1\r\n");
+  RawSocket partial, another;
+  ASSERT_TRUE(partial.connect(server.port()));
+  partial.send("GET / HTTP/1.1\r\n");
   runUntilIdle();
-  ASSERT_TRUE(another.connect(server.port()));  // the node hears of it first
-  pieces.send("\r\n");
+  ASSERT_TRUE(another.connect(server.port()));  // the server is notified of this one first
+  partial.send("\r\n");
   runUntilIdle();
-  EXPECT_EQ(pieces.receive().substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(partial.receive().substr(0, 12), "HTTP/1.1 200");
 }
 
 }  // namespace
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -1,4 +1,4 @@
-// The watch on discovery: it must prove that it is alive, and is opened anew where it does not.
+// Tests of the watch on discovery: a node reopens a watch that breaks or does not show that it is alive.
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -6,24 +6,26 @@
 
 using namespace test;
 
-// How long a node may take to know a change after a watch broke: the page's 6 s, of the machine's clock.
+// Within this time after a watch broke, a node must know a change; seconds of real time. The protocol's limit
+// is 6 s.
 constexpr double kPropagationLimit = 6;
 
 class DiscoveryWatchTest : public PlatformTest {
  protected:
   static bool isWatch(const http1::Request& r) { return r.target.find("watch=1") != std::string::npos; }
-  std::size_t watches() const {
+  std::size_t watchCount() const {
     std::size_t n = 0;
     for (const auto& r : discovery.requests) n += isWatch(r);
     return n;
   }
-  std::string drained(std::uint64_t index) const {
+  std::string drainMessage(std::uint64_t index) const {
     return engineListJson(index, false, {engineJson("w1", "decode", decodeEngine.address(), "draining")})
                .dump() +
            "\n";
   }
-  // No request is forwarded once the only decode engine drains.
-  bool knowsDrain() {
+  // Sends a request and returns whether the node answers it without forwarding it to the decode engine, as it
+  // must once it knows that the only decode engine drains.
+  bool hasAppliedDrain() {
     const std::size_t before = decodeEngine.requests.size();
     EXPECT_EQ(
         statusOf(sendFromNewClient(chatRequest("probe" + std::to_string(++probes_), "", "chat", "300"))) /
@@ -31,60 +33,61 @@
         5);
     return decodeEngine.requests.size() == before;
   }
-  // Plays `first` to the first watch and the change to those after it.
-  void changeReachesThroughASecondWatch(const std::function<void(Peer&)>& first) {
+  // Answers the first watch with `answerFirst` and all later ones with a drain of the decode engine, and
+  // expects that the node opens a second watch within the limit and applies the drain.
+  void expectDrainThroughSecondWatch(const std::function<void(Peer&)>& answerFirst) {
     int n = 0;
     discovery.script = [&, n](Peer& peer, const http1::Request&) mutable {
-      if (++n == 1) return first(peer);
-      peer.send(kStreamHead + chunkOf(drained(9)));
+      if (++n == 1) return answerFirst(peer);
+      peer.send(kStreamHead + chunkOf(drainMessage(9)));
     };
     startNode();
-    const Instant began = net::monotonicNow();
-    ASSERT_TRUE(runUntil([&] { return watches() >= 2; }));
-    EXPECT_LT((net::monotonicNow() - began).count(), kPropagationLimit);
+    const Instant start = net::monotonicNow();
+    ASSERT_TRUE(runUntil([&] { return watchCount() >= 2; }));
+    EXPECT_LT((net::monotonicNow() - start).count(), kPropagationLimit);
     ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-    EXPECT_TRUE(knowsDrain());
+    EXPECT_TRUE(hasAppliedDrain());
   }
 
  private:
   int probes_ = 0;
 };
 
-TEST_F(DiscoveryWatchTest, ASilentOneIsOpenedAnew) {
-  changeReachesThroughASecondWatch([](Peer& p) { p.send(kStreamHead + chunkOf("\n")); });
+TEST_F(DiscoveryWatchTest, ReopensWatchThatFallsSilent) {
+  expectDrainThroughSecondWatch([](Peer& p) { p.send(kStreamHead + chunkOf("\n")); });
 }
-TEST_F(DiscoveryWatchTest, OneThatNeverAnswersIsOpenedAnew) {
-  changeReachesThroughASecondWatch([](Peer&) {});
+TEST_F(DiscoveryWatchTest, ReopensWatchThatIsNeverAnswered) {
+  expectDrainThroughSecondWatch([](Peer&) {});
 }
-TEST_F(DiscoveryWatchTest, OneThatIsResetIsOpenedAnew) {
-  changeReachesThroughASecondWatch([](Peer& p) {
+TEST_F(DiscoveryWatchTest, ReopensWatchThatIsReset) {
+  expectDrainThroughSecondWatch([](Peer& p) {
     p.send(kStreamHead + chunkOf("\n"));
     p.connection.abort();
   });
 }
-TEST_F(DiscoveryWatchTest, OneThatEndsInHalfALineIsOpenedAnew) {
-  changeReachesThroughASecondWatch([this](Peer& p) {
-    p.send(kStreamHead + chunkOf(drained(9).substr(0, 40)));
+TEST_F(DiscoveryWatchTest, ReopensWatchThatClosesWithinALine) {
+  expectDrainThroughSecondWatch([this](Peer& p) {
+    p.send(kStreamHead + chunkOf(drainMessage(9).substr(0, 40)));
     p.connection.close();
   });
 }
-TEST_F(DiscoveryWatchTest, HalfALineDoesNotProveLiveness) {
-  changeReachesThroughASecondWatch(
-      [this](Peer& p) { p.send(kStreamHead + chunkOf(drained(9).substr(0, 40))); });
+TEST_F(DiscoveryWatchTest, ReopensWatchThatDeliversOnlyAPartialLine) {
+  expectDrainThroughSecondWatch(
+      [this](Peer& p) { p.send(kStreamHead + chunkOf(drainMessage(9).substr(0, 40))); });
 }
-TEST_F(DiscoveryWatchTest, ARejectionWhoseBodyNeverEndsDoesNotProveLiveness) {
-  changeReachesThroughASecondWatch([this](Peer& p) {
+TEST_F(DiscoveryWatchTest, ReopensWatchThatIsRejectedWithEndlessBody) {
+  expectDrainThroughSecondWatch([this](Peer& p) {
     p.send("HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkOf("\n"));
     loop.runAfter(Duration(0.5), [this] {
       if (!discovery.peers.front()->closed) discovery.peers.front()->send(chunkOf("\n"));
     });
   });
 }
-TEST_F(DiscoveryWatchTest, EndlessMalformedBytesDoNotProveLiveness) {
-  changeReachesThroughASecondWatch([](Peer& p) { p.send(kStreamHead + chunkOf("nonsense nonsense")); });
+TEST_F(DiscoveryWatchTest, ReopensWatchThatDeliversMalformedBytes) {
+  expectDrainThroughSecondWatch([](Peer& p) { p.send(kStreamHead + chunkOf("nonsense nonsense")); });
 }
 
-TEST_F(DiscoveryWatchTest, AnIndentedListIsRead) {
+TEST_F(DiscoveryWatchTest, AppliesIndentedList) {
   discovery.script = [&](Peer& peer, const http1::Request&) {
     const std::string text = engineListJson(9, true,
                                             {engineJson("r1", "prefill", prefillEngine.address()),
@@ -95,10 +98,10 @@
   };
   startNode();
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, AnEngineMissingFromASnapshotIsRemoved) {
+TEST_F(DiscoveryWatchTest, RemovesEngineMissingFromSnapshot) {
   discovery.script = [&](Peer& peer, const http1::Request&) {
     peer.send(kStreamHead +
               chunkOf(engineListJson(9, true, {engineJson("r1", "prefill", prefillEngine.address())}).dump() +
@@ -106,12 +109,12 @@
   };
   startNode();
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, AListOlderThanTheLatestBringsNoEngineBack) {
+TEST_F(DiscoveryWatchTest, KeepsEngineDrainedWhenAnOlderListArrives) {
   discovery.script = [&, n = 0](Peer& peer, const http1::Request&) mutable {
-    if (++n == 1) return peer.send(kStreamHead + chunkOf(drained(9)) + "0\r\n\r\n");
+    if (++n == 1) return peer.send(kStreamHead + chunkOf(drainMessage(9)) + "0\r\n\r\n");
     if (n == 2)
       return peer.send(kStreamHead +
                        chunkOf(engineListJson(8, true,
@@ -124,73 +127,75 @@
   startNode();
   ASSERT_TRUE(runUntil([&] { return discovery.count("GET", "/api/targets?watch=1&from=0") > 0; }));
   EXPECT_EQ(node->listIndex(), 9U);
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, DiscoveryThatWasUnreachableIsUsedSoonAfterItsReturn) {
+TEST_F(DiscoveryWatchTest, AppliesListSoonAfterDiscoveryBecomesReachable) {
   discovery.script = [&](Peer& peer, const http1::Request&) { peer.connection.abort(); };
   startNode();
-  ASSERT_TRUE(runUntil([&] { return watches() >= 4; }));  // rejected again and again
-  discovery.script = [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(drained(9))); };
-  const Instant back = net::monotonicNow();
+  ASSERT_TRUE(runUntil([&] { return watchCount() >= 4; }));  // each was rejected
+  discovery.script = [&](Peer& peer, const http1::Request&) {
+    peer.send(kStreamHead + chunkOf(drainMessage(9)));
+  };
+  const Instant reachableAt = net::monotonicNow();
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-  EXPECT_LT((net::monotonicNow() - back).count(), kPropagationLimit);
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_LT((net::monotonicNow() - reachableAt).count(), kPropagationLimit);
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, WhileDiscoveryIsSilentOneOpenWatchIsKeptAndOneIsRenewed) {
+TEST_F(DiscoveryWatchTest, KeepsFirstWatchOpenAndRenewsSecondWhileDiscoveryIsSilent) {
   discovery.script = [](Peer&, const http1::Request&) {};
   startNode();
-  ASSERT_TRUE(runUntil([&] { return watches() >= 3; }));
+  ASSERT_TRUE(runUntil([&] { return watchCount() >= 3; }));
   EXPECT_FALSE(discovery.peers.front()->closed);
   std::size_t open = 0;
   for (const auto& peer : discovery.peers) open += !peer->closed;
   EXPECT_LE(open, 2U);
-  discovery.peers.front()->send(kStreamHead + chunkOf(drained(9)));  // the first one delivers after all
+  discovery.peers.front()->send(kStreamHead + chunkOf(drainMessage(9)));  // on the first watch
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9; }));
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, ANewAddressIsUsedThoughTheOldOneStillDelivers) {
+TEST_F(DiscoveryWatchTest, MovesToNewAddressWhileOldAddressStillDelivers) {
   discovery.script = [](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf("\n")); };
   std::shared_ptr<Peer> late;
-  ScriptedServer other(loop, [&](Peer&, const http1::Request&) {});
+  ScriptedServer newDiscovery(loop, [&](Peer&, const http1::Request&) {});
   startNode();
-  ASSERT_TRUE(runUntil([&] { return watches() == 1; }));
-  Json fresh = configurationJson();
-  fresh["discovery"] = other.address();
-  node->reload(configurationOf(fresh));
-  ASSERT_TRUE(runUntil([&] { return other.requests.size() == 1; }));
+  ASSERT_TRUE(runUntil([&] { return watchCount() == 1; }));
+  Json newConfiguration = configurationJson();
+  newConfiguration["discovery"] = newDiscovery.address();
+  node->reload(configurationOf(newConfiguration));
+  ASSERT_TRUE(runUntil([&] { return newDiscovery.requests.size() == 1; }));
   discovery.peers.front()->send(chunkOf("\n"));
   runFor(0.1);
-  ASSERT_FALSE(other.peers.front()->closed);
-  other.peers.front()->send(kStreamHead + chunkOf(drained(9)));
+  ASSERT_FALSE(newDiscovery.peers.front()->closed);
+  newDiscovery.peers.front()->send(kStreamHead + chunkOf(drainMessage(9)));
   ASSERT_TRUE(runUntil([&] { return node->listIndex() == 9 && discovery.peers.front()->closed; }));
-  EXPECT_TRUE(knowsDrain());
+  EXPECT_TRUE(hasAppliedDrain());
 }
 
-TEST_F(DiscoveryWatchTest, ADiscoveryThatEndsEachAnswerIsAskedWithPauses) {
+TEST_F(DiscoveryWatchTest, PausesBetweenWatchesWhenDiscoveryEndsEachResponse) {
   discovery.script = [&](Peer& peer, const http1::Request&) {
     peer.send(kStreamHead + chunkOf("\n") + "0\r\n\r\n");
   };
   startNode();
-  const Instant began = net::monotonicNow();
-  ASSERT_TRUE(runUntil([&] { return watches() >= 8; }));
-  EXPECT_GE((net::monotonicNow() - began).count(), 1.5);  // the least that seven pauses last
+  const Instant start = net::monotonicNow();
+  ASSERT_TRUE(runUntil([&] { return watchCount() >= 8; }));
+  EXPECT_GE((net::monotonicNow() - start).count(), 1.5);  // the shortest possible sum of the seven pauses
 }
 
-TEST_F(DiscoveryWatchTest, ANodeThatKnowsEnginesIsReadyAndServesThoughDiscoveryIsUnreachable) {
+TEST_F(DiscoveryWatchTest, ServesByConfiguredListWhenDiscoveryIsUnreachable) {
   discovery.listener.rejectConnections(true);
   startNode();
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("by-the-known-list"))), 200);
   EXPECT_TRUE(becomesReady());
 }
 
-TEST_F(DiscoveryWatchTest, ANodeThatKnowsNoEngineIsReadyOnceItHasAList) {
+TEST_F(DiscoveryWatchTest, BecomesReadyWithFirstListWhenNoneIsConfigured) {
   std::shared_ptr<Peer> watchesSeen;
   startNode([](Json& json) { json.erase("known"); });
   EXPECT_EQ(statusOf(sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
-  ASSERT_TRUE(runUntil([&] { return watches() == 1; }));
+  ASSERT_TRUE(runUntil([&] { return watchCount() == 1; }));
   discovery.peers.front()->send(chunkOf(engineListJson(9, true,
                                                        {engineJson("r1", "prefill", prefillEngine.address()),
                                                         engineJson("w1", "decode", decodeEngine.address())})
--- a/tests/endings_fixture.h
+++ b/tests/endings_fixture.h
@@ -1,5 +1,5 @@
-// A node in stepped time with the helpers that the tests of endings share. docs/design/endings.md has the
-// table that these tests belong to.
+// Test fixture for the ways in which clients, engines and nodes end, in simulated time.
+// docs/design/endings.md has the table of these cases.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace gannetcourse::test {
 
-// Hears what becomes of calls and does nothing.
+// Ignores all events of the engine client.
 struct IgnoringEventHandler final : engines::EngineEventHandler {
   void onPrefillEnded(router::CallKey, std::string, double, std::optional<LoadReport>) override {}
   void onToken(router::CallKey, std::uint32_t, std::string) override {}
@@ -24,23 +24,23 @@
 
 class EndingsTest : public SteppedTest {
  protected:
-  bool obligationsEnd() {
-    return happensWithin(1, [&] { return node->core().pendingObligations() == 0; });
+  bool obligationsComplete() {
+    return becomesTrueWithin(1, [&] { return node->core().pendingObligations() == 0; });
   }
   void drain() {
     node->drain([this] { ++drained; });
     runUntilIdle();
   }
-  bool shutdownEnds() {
-    return happensWithin(10, [&] { return drained > 0; });
+  bool shutdownCompletes() {
+    return becomesTrueWithin(10, [&] { return drained > 0; });
   }
-  // A stream whose first event has reached its client.
+  // Starts a stream and waits until its client has received the first event.
   std::shared_ptr<Peer> startStream(const std::string& id) {
     decodeEngine.script = [](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
     };
     auto peer = sendFromNewClient(chatRequest(id));
-    EXPECT_TRUE(happensWithin(1, [&] { return peer->hasReceived("\"a\""); }));
+    EXPECT_TRUE(becomesTrueWithin(1, [&] { return peer->hasReceived("\"a\""); }));
     return peer;
   }
   Peer& latestDecodePeer() { return *decodeEngine.peers.back(); }
@@ -52,7 +52,7 @@
     return values;
   }
 
-  int drained = 0;
+  int drained = 0;  // number of times that the node reported the end of its drain
 };
 
 }  // namespace gannetcourse::test
--- a/tests/engine_client_test.cpp
+++ b/tests/engine_client_test.cpp
@@ -1,4 +1,4 @@
-// The engine client of a node: attempts that fail, responses that are malformed, states that are released.
+// Tests of a node's engine client: failed attempts, malformed responses and releases of state.
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -8,15 +8,16 @@
 
 class EngineClientTest : public PlatformTest {};
 
-TEST_F(EngineClientTest, AnAttemptThatFailsBeforeItsFirstEventIsFollowedByAnother) {
-  const std::vector<std::string> bad = {"HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n",
-                                        "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-                                        "HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-                                        "noise\r\n\r\n",
-                                        kStreamHead + "zz\r\n",
-                                        kStreamHead + chunkOf("no event\n\n"),
-                                        kStreamHead + "BB8F1C80\r\ndata: x"};
-  for (const std::string& answer : bad) {
+TEST_F(EngineClientTest, RetriesAttemptThatFailsBeforeItsFirstEvent) {
+  const std::vector<std::string> failures = {
+      "HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n",
+      "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+      "HTTP/1.1 410 Gone\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+      "noise\r\n\r\n",
+      kStreamHead + "zz\r\n",
+      kStreamHead + chunkOf("no event\n\n"),
+      kStreamHead + "BB8F1C80\r\ndata: x"};
+  for (const std::string& answer : failures) {
     bool failed = false;
     decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
       if (answerRelease(peer, request)) return;
@@ -31,7 +32,7 @@
   }
 }
 
-TEST_F(EngineClientTest, AnAtMostOnceRequestWhoseResponseIsMalformedIsNotRetried) {
+TEST_F(EngineClientTest, DoesNotRetryAtMostOnceRequestAfterMalformedResponse) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send("noise\r\n\r\n");
   };
@@ -40,11 +41,11 @@
   EXPECT_EQ(decodeEngine.count("POST", "/v1/chat/completions?x=1"), 1U);
 }
 
-TEST_F(EngineClientTest, AStreamThatTurnsMalformedEndsTheClientsConnectionWithoutTheLastChunk) {
-  const std::vector<std::string> spoilt = {
+TEST_F(EngineClientTest, ClosesClientConnectionWithoutLastChunkWhenStreamBecomesMalformed) {
+  const std::vector<std::string> malformedTails = {
       "zz\r\n",    "2\r\ndata: b\n\n\r\n",   "BB8F1C80\r\ndata: x", chunkOf("noise\n\n"),
       "0\r\n\r\n", "ff\r\ndata: never whole"};
-  for (const std::string& rest : spoilt) {
+  for (const std::string& rest : malformedTails) {
     decodeEngine.script = [&](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")) + rest);
     };
@@ -58,7 +59,7 @@
   }
 }
 
-TEST_F(EngineClientTest, WhatComesBesideAValidStreamIsHarmless) {
+TEST_F(EngineClientTest, IgnoresEarlyHintsBadLoadReportAndBytesAfterStream) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (answerRelease(peer, request)) return;
     peer.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kStreamHead + chunkOf(eventOf("a") + kDone) +
@@ -70,13 +71,13 @@
     ASSERT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
     EXPECT_FALSE(peer->hasReceived("X-Load-Report"));
   }
-  EXPECT_EQ(decodeEngine.peers.size(), 2U);  // the first connection is not used again
+  EXPECT_EQ(decodeEngine.peers.size(), 2U);  // not reused, because bytes followed the response
 }
 
-TEST_F(EngineClientTest, AClientThatDisconnectsEndsItsAttemptAndItsStateIsReleased) {
+TEST_F(EngineClientTest, CancelsAttemptAndReleasesStateWhenClientDisconnects) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     answerRelease(peer, request);
-  };  // never answers
+  };  // leaves the attempt unanswered
   startNode();
   const auto peer = sendFromNewClient(chatRequest("left"));
   ASSERT_TRUE(runUntil([&] { return decodeEngine.requests.size() == 1; }));
@@ -92,11 +93,11 @@
       [&] { return node->core().pendingObligations() == 0 && node->engineClient().auxiliaryCalls() == 0; }));
 }
 
-TEST_F(EngineClientTest, APrefillWhoseConnectionBreaksIsReleased) {
-  int reads = 0;
+TEST_F(EngineClientTest, ReleasesPrefillWhenItsConnectionBreaks) {
+  int prefillCount = 0;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
     if (answerRelease(peer, request)) return;
-    if (++reads > 1) return answerPrefill(peer, request);
+    if (++prefillCount > 1) return answerPrefill(peer, request);
     peer.connection.close();
   };
   startNode();
@@ -109,12 +110,13 @@
   }));
 }
 
-// A success that is not the prefill's own has still run: the state that it has left is released.
-TEST_F(EngineClientTest, APrefillThatEndsWithAnotherSuccessIsReleased) {
-  int reads = 0;
+// A prefill that ends with another success status than 202 may have run and left state at the engine. The
+// state must be released, or it stays there until its lease expires.
+TEST_F(EngineClientTest, ReleasesPrefillThatEndsWithUnexpectedSuccessStatus) {
+  int prefillCount = 0;
   prefillEngine.script = [&](Peer& peer, const http1::Request& request) {
     if (answerRelease(peer, request)) return;
-    if (++reads > 1) return answerPrefill(peer, request);
+    if (++prefillCount > 1) return answerPrefill(peer, request);
     peer.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
   };
   startNode();
@@ -128,7 +130,7 @@
   EXPECT_GE(releases(), 1U);
 }
 
-TEST_F(EngineClientTest, TheDeadlineStopsWithTheFirstEvent) {
+TEST_F(EngineClientTest, DoesNotApplyDeadlineAfterFirstEvent) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
   };
@@ -141,18 +143,18 @@
   EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
 }
 
-TEST_F(EngineClientTest, NothingInTimeIsOneFinalAnswerBeforeItsDeadline) {
+TEST_F(EngineClientTest, AnswersWithErrorWhenNoEngineRespondsBeforeDeadline) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) { answerRelease(peer, request); };
   startNode();
-  const Instant from = net::monotonicNow();
+  const Instant start = net::monotonicNow();
   const auto peer = sendFromNewClient(chatRequest("late", "", "chat", "900"));
   const int status = statusOf(peer);
   EXPECT_TRUE(status == 502 || status == 503 || status == 504) << status;
-  EXPECT_LT(net::monotonicNow() - from, Duration(kTimeoutSeconds));
+  EXPECT_LT(net::monotonicNow() - start, Duration(kTimeoutSeconds));
   EXPECT_TRUE(runUntil([&] { return node->engineClient().openCallCount() == 0; }));
 }
 
-TEST_F(EngineClientTest, TheModulesCountsMatchTheOpenSockets) {
+TEST_F(EngineClientTest, CountsOpenCallsPerEngineAndForgetsThoseOfDisconnectedClients) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
   };
--- a/tests/engine_endings_test.cpp
+++ b/tests/engine_endings_test.cpp
@@ -1,5 +1,5 @@
-// Engines that fall silent, drain, are removed or killed: releases, unsent calls and budgets. In stepped
-// time.
+// Tests of releases, unsent calls and budgets when engines fall silent, drain, are removed or are killed, in
+// simulated time.
 #include <fcntl.h>
 
 #include "endings_fixture.h"
@@ -11,8 +11,9 @@
 
 class EngineEndingsTest : public EndingsTest {};
 
-// All connections are taken at the moment of the release: it is not given up for that.
-TEST_F(EngineEndingsTest, AReleaseWaitsForAConnectionWhereNoneMayBeOpened) {
+// When clients disconnect, all connections to engines may be in use. The releases must wait for a connection
+// instead of being abandoned.
+TEST_F(EngineEndingsTest, SendsReleasesLaterWhenAllEngineConnectionsAreInUse) {
   sockets = 64;  // 18 connections to engines, 17 open requests
   prefillEngine.script = leaveUnanswered;
   startNode();
@@ -22,40 +23,43 @@
   advance(0.2);
   ASSERT_GE(attemptCount(prefillEngine), 8U);
   const std::vector<http1::Request> sent = prefillEngine.requests;
-  for (const auto& peer : peers) peer->connection.close();  // more leave at once than connections are free
-  EXPECT_TRUE(happensWithin(3, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
+  for (const auto& peer : peers) peer->connection.close();  // more releases at once than free connections
+  EXPECT_TRUE(becomesTrueWithin(3, [&] { return node->engineClient().auxiliaryCalls() == 0; }));
   for (const auto& request : sent) {
     const std::string id = *request.fields.find("X-Call-Id");
     EXPECT_GE(releaseCount(id), 1U) << id;
   }
 }
 
-TEST_F(EngineEndingsTest, AReleaseThatNoConnectionCouldBeOpenedForIsSentOnceOneIsFree) {
+// The single connection that is allowed is in use when the release starts, and becomes free only 1 s later.
+TEST_F(EngineEndingsTest, SendsPendingReleaseOnceAConnectionIsFree) {
   net::Loop& on = loop;
   http1::ClientOptions options;
   options.maxConnections = 1;
   IgnoringEventHandler handler;
-  EngineClient engines(on, options, handler);
+  EngineClient engineClient(on, options, handler);
   const Configuration c = configurationOf(configurationJson());
-  engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
+  engineClient.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
   prefillEngine.script = leaveUnanswered;
   auto payload = std::make_shared<router::RequestPayload>();
   payload->target = "/v1/chat/completions?x=1";
   payload->prompt = "{}";
-  engines.start(router::StartPrefill{1, 1, "taken", 0, engineIdOf("r1"), Duration(4), Duration(4), payload});
+  engineClient.start(
+      router::StartPrefill{1, 1, "taken", 0, engineIdOf("r1"), Duration(4), Duration(4), payload});
   runUntilIdle();
-  engines.releaseState(router::ReleaseState{"later", 0, engineIdOf("r1")});
+  engineClient.releaseState(router::ReleaseState{"later", 0, engineIdOf("r1")});
   advance(1);
   EXPECT_EQ(releaseCount("later"), 0U);
-  EXPECT_EQ(engines.auxiliaryCalls(), 1U);
-  engines.cancelCall(1);
+  EXPECT_EQ(engineClient.auxiliaryCalls(), 1U);
+  engineClient.cancelCall(1);
   advance(0.2);
   EXPECT_EQ(releaseCount("later"), 1U);
-  EXPECT_EQ(engines.auxiliaryCalls(), 0U);
+  EXPECT_EQ(engineClient.auxiliaryCalls(), 0U);
 }
 
-// Most engines fall silent together, their connections stay open: a release reaches one that runs in time.
-TEST_F(EngineEndingsTest, AReleaseFindsAnEngineThatRunsWhereMostHaveFallenSilent) {
+// Seven of eight engines fall silent together while their connections stay open. Releases must still reach
+// the engine that runs, within 0.7 s.
+TEST_F(EngineEndingsTest, ReleaseReachesRunningEngineWhenMostEnginesAreSilent) {
   const auto silent = [](Peer&, const http1::Request&) {};
   std::list<ScriptedServer> others;
   std::vector<Json> engines = {engineJson("r1", "prefill", prefillEngine.address()),
@@ -68,12 +72,12 @@
     json["known"] = engineListJson(7, true, engines);
     json["settings"]["familyInfo"]["pinLimitS"] = 0.4;
   });
-  // All have been used and keep an idle connection.
+  // Uses all engines, so that each has an idle connection.
   for (int i = 0; i < 40; ++i) {
     std::string request = chatRequest("warm" + std::to_string(i));
     request.replace(request.find("7f3a9c21"), 8, "7f3a9c" + std::to_string(10 + i));
     const auto peer = sendFromNewClient(request);
-    ASSERT_TRUE(happensWithin(2, [&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
+    ASSERT_TRUE(becomesTrueWithin(2, [&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
   }
   advance(0.1);
   prefillEngine.script = silent;
@@ -83,12 +87,12 @@
     const auto peer = sendFromNewClient(chatRequest(id));
     advance(0.1);
     peer->connection.close();
-    EXPECT_TRUE(happensWithin(0.7, [&] { return decodeEngine.count("DELETE", "/kv/leases/" + id) == 1; }))
+    EXPECT_TRUE(becomesTrueWithin(0.7, [&] { return decodeEngine.count("DELETE", "/kv/leases/" + id) == 1; }))
         << id;
   }
 }
 
-TEST_F(EngineEndingsTest, WhatWaitsForAConnectionToAnEngineThatDrainsIsNotSentThere) {
+TEST_F(EngineEndingsTest, ReroutesUnsentAttemptWhenItsEngineDrains) {
   UnresponsivePort slow;
   startNode([&](Json& json) {
     json["known"]["endpoints"][0]["address"] = slow.address();
@@ -96,7 +100,7 @@
   });
   runUntilIdle();
   const auto peer = sendFromNewClient(chatRequest("crosses", "", "pay", "9000"));
-  ASSERT_TRUE(happensWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
+  ASSERT_TRUE(becomesTrueWithin(0.1, [&] { return node->engineClient().connectionCount() == 1; }));
   openWatch()->send(chunkOf(engineListJson(8, false,
                                            {engineJson("r1", "prefill", slow.address(), "draining"),
                                             engineJson("r2", "prefill", prefillEngine.address(), "up")})
@@ -104,11 +108,11 @@
                             "\n"));
   advance(0.1);
   EXPECT_EQ(statusOf(peer),
-            200);  // by the other prefill engine, well before the connection would have timed out
+            200);  // served by the other prefill engine, long before the connect timeout
   EXPECT_EQ(attemptCount(prefillEngine), 1U);
 }
 
-TEST_F(EngineEndingsTest, ADrainWithoutAnAddressIsADrain) {
+TEST_F(EngineEndingsTest, AppliesDrainWithoutAddress) {
   startNode();
   runUntilIdle();
   Json entry = engineJson("r1", "prefill", "", "draining");
@@ -121,43 +125,46 @@
   EXPECT_EQ(attemptCount(prefillEngine), 0U);
 }
 
-TEST_F(EngineEndingsTest, AnObjectThatCannotBeReadMakesTheNodeRequestASnapshot) {
+TEST_F(EngineEndingsTest, RequestsSnapshotAfterMalformedListObject) {
   for (const char* const object : {"{\"index\": 8, ]}", "{\"index\": \"eight\"}"}) {
     discovery.requests.clear();
     startNode();
     runUntilIdle();
     openWatch()->send(chunkOf(std::string(object) + "\n"));
-    EXPECT_TRUE(happensWithin(1, [&] { return discovery.count("GET", "/api/targets?watch=1&from=0") == 1; }));
+    EXPECT_TRUE(
+        becomesTrueWithin(1, [&] { return discovery.count("GET", "/api/targets?watch=1&from=0") == 1; }));
     node.reset();
     runUntilIdle();
   }
 }
 
-// The engine's machine has taken the connection and all bytes of the request; its process is killed then.
-TEST_F(EngineEndingsTest, AnAcceptThenAResetMayHaveRun) {
+// The engine's kernel has accepted the connection and all bytes of the request before the process is killed.
+// An at-most-once request must not be retried, because the engine may have run it.
+TEST_F(EngineEndingsTest, DoesNotRetryAtMostOnceRequestWhenEngineResetsAcceptedConnection) {
   RawSocket listener;
   const std::uint16_t port = listenOnLoopback(listener, 8);
   startNode(
       [&](Json& json) { json["known"]["endpoints"][1]["address"] = "127.0.0.1:" + std::to_string(port); });
   const auto peer = sendFromNewClient(chatRequest("once", "", "pay", "3000"));
   advance(0.1);
-  RawSocket taken(::accept(listener.fd(), nullptr, nullptr));
-  EXPECT_NE(taken.receive().find("X-Call-Id: once"), std::string::npos);
-  taken.reset();
-  EXPECT_TRUE(happensWithin(4, [&] { return peer->hasReceived("HTTP/1.1"); }));
-  EXPECT_EQ(statusOf(peer), 502);  // at most once: it may have run, so it is neither retried nor rejected
+  RawSocket accepted(::accept(listener.fd(), nullptr, nullptr));
+  EXPECT_NE(accepted.receive().find("X-Call-Id: once"), std::string::npos);
+  accepted.reset();
+  EXPECT_TRUE(becomesTrueWithin(4, [&] { return peer->hasReceived("HTTP/1.1"); }));
+  EXPECT_EQ(statusOf(peer), 502);  // neither retried nor rejected with 503
   advance(1);
   fcntl(listener.fd(), F_SETFL, O_NONBLOCK);
-  EXPECT_LT(::accept(listener.fd(), nullptr, nullptr), 0) << "no other connection was made";
+  EXPECT_LT(::accept(listener.fd(), nullptr, nullptr), 0) << "the node opened a second connection";
 }
 
-TEST_F(EngineEndingsTest, AnAttemptStatesTheBudgetAtItsConnect) {
+// The remaining budget must be computed when the connection opens, not when the call starts.
+TEST_F(EngineEndingsTest, ComputesBudgetWhenConnectionOpens) {
   RawSocket listener;
   sockaddr_in address = RawSocket::loopback(0);
   socklen_t size = sizeof address;
   ASSERT_EQ(::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&address), size), 0);
   getsockname(listener.fd(), reinterpret_cast<sockaddr*>(&address), &size);
-  // The call is started, and the loop learns that its connection is up only after some time.
+  // The loop is notified that the connection is open only after the call was started.
   std::string statedBudget;
   struct IgnoringResponse final : http1::ResponseHandler {
     void onHead(const http1::ResponseHead&) override {}
@@ -178,20 +185,22 @@
   EXPECT_EQ(statedBudget, "995");
 }
 
-// The stated budget is correct at the send, not at the start of the loop's iteration.
-TEST_F(EngineEndingsTest, AStatedBudgetCountsTheTimeOfTheIteration) {
+// The budget must be computed when the request is sent. At the start of the loop's iteration, 0.4 s earlier,
+// it would be too large.
+TEST_F(EngineEndingsTest, SubtractsTimeWithinLoopIterationFromBudget) {
   IgnoringEventHandler handler;
-  EngineClient engines(loop, {}, handler);
+  EngineClient engineClient(loop, {}, handler);
   const Configuration c = configurationOf(configurationJson());
-  engines.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
+  engineClient.applyEngineList(*parseEngineListMessage(c.knownEngineList, c.names, net::WallClock(now(), 0)));
   auto payload = std::make_shared<router::RequestPayload>();
   payload->target = "/v1/chat/completions?x=1";
   payload->prompt = "{}";
-  engines.start(router::StartPrefill{1, 1, "opens", 0, engineIdOf("r1"), Duration(2), Duration(2), payload});
-  advance(0.2);  // its connection may be used again
+  engineClient.start(
+      router::StartPrefill{1, 1, "opens", 0, engineIdOf("r1"), Duration(2), Duration(2), payload});
+  advance(0.2);  // its connection becomes reusable
   loop.defer([&] {
     stall(0.4);
-    engines.start(
+    engineClient.start(
         router::StartPrefill{2, 2, "held-up", 0, engineIdOf("r1"), Duration(2), Duration(2), payload});
   });
   runUntilIdle();
@@ -200,8 +209,9 @@
   EXPECT_LE(budgets(prefillEngine)[1], 1600);
 }
 
-// A replacement may come up where the engine that it replaces has been.
-TEST_F(EngineEndingsTest, ConnectionsToAnAddressThatAnotherEngineTookOverAreKept) {
+// A replacement engine may start at the address of the engine that it replaces. Removing the old engine must
+// not close the connections to that address.
+TEST_F(EngineEndingsTest, KeepsConnectionsToAddressThatAnotherEngineTookOver) {
   startNode();
   runUntilIdle();
   openWatch()->send(chunkOf(engineListJson(8, false,
@@ -212,7 +222,7 @@
   runUntilIdle();
   for (int i = 0; i < 4; ++i) {
     const auto peer = sendFromNewClient(chatRequest("again-" + std::to_string(i)));
-    ASSERT_TRUE(happensWithin(1, [&] { return peer->hasReceived("0\r\n\r\n"); }));
+    ASSERT_TRUE(becomesTrueWithin(1, [&] { return peer->hasReceived("0\r\n\r\n"); }));
     advance(0.2);
   }
   EXPECT_EQ(prefillEngine.peers.size(), 1U);
--- a/tests/engine_list_message_test.cpp
+++ b/tests/engine_list_message_test.cpp
@@ -1,4 +1,4 @@
-// Messages of discovery: objects out of bytes, entries that are malformed, lists that are older.
+// Tests of discovery messages: splitting bytes into JSON objects, malformed entries and outdated lists.
 #include "platform/engine_list_message.h"
 
 #include <random>
@@ -20,7 +20,7 @@
   return objects;
 }
 
-TEST(JsonStreamSplitter, FindsObjectsHoweverTheyAreLaidOut) {
+TEST(JsonStreamSplitter, SplitsObjectsForAnyLayoutAndPieceSize) {
   const Json list = engineListJson(
       41, true, {engineJson("a{\"]}\\", "prefill", "10.0.0.1:1"), engineJson("b", "decode", "1.2.3.4:5")});
   const std::string bytes =
@@ -32,19 +32,19 @@
   }
 }
 
-TEST(JsonStreamSplitter, AnEmptyLineProvesLivenessAndHalfAnObjectDoesNot) {
+TEST(JsonStreamSplitter, ReportsLivenessForEmptyLineButNotForPartialObject) {
   JsonStreamSplitter splitter;
-  const auto none = [](const std::string&) { FAIL(); };
-  EXPECT_TRUE(splitter.feed("\n", none));
-  EXPECT_FALSE(splitter.feed("  ", none));
-  EXPECT_FALSE(splitter.feed("{\"index\": 3,\n \"endpoints\": [\n", none));
-  EXPECT_FALSE(splitter.feed("\n\n", none));
+  const auto failOnObject = [](const std::string&) { FAIL(); };
+  EXPECT_TRUE(splitter.feed("\n", failOnObject));
+  EXPECT_FALSE(splitter.feed("  ", failOnObject));
+  EXPECT_FALSE(splitter.feed("{\"index\": 3,\n \"endpoints\": [\n", failOnObject));
+  EXPECT_FALSE(splitter.feed("\n\n", failOnObject));
   int delivered = 0;
   EXPECT_TRUE(splitter.feed("]}", [&](const std::string&) { ++delivered; }));
   EXPECT_EQ(delivered, 1);
 }
 
-TEST(JsonStreamSplitter, SurvivesRandomBytes) {
+TEST(JsonStreamSplitter, DeliversOnlyObjectsFromRandomBytes) {
   std::mt19937 random(3);
   JsonStreamSplitter splitter;
   for (int i = 0; i < 2000; ++i) {
@@ -54,11 +54,11 @@
   }
 }
 
-TEST(ParseEngineListMessage, ADrainOrRemovalCountsWhateverElseItsEntrySays) {
-  const Json bad = {{"group", -3},   {"address", 7},    {"type", Json::array()},
-                    {"zone", false}, {"since_ms", "x"}, {"weight", nullptr}};
+TEST(ParseEngineListMessage, AppliesDrainOrRemovalWhenAnotherFieldIsMalformed) {
+  const Json malformedFields = {{"group", -3},   {"address", 7},    {"type", Json::array()},
+                                {"zone", false}, {"since_ms", "x"}, {"weight", nullptr}};
   for (const char* const status : {"draining", "removed"}) {
-    for (const auto& [field, value] : bad.items()) {
+    for (const auto& [field, value] : malformedFields.items()) {
       Json entry = engineJson("a", "prefill", "10.0.0.1:1", status);
       entry[field] = value;
       const auto list =
@@ -71,18 +71,18 @@
   }
 }
 
-TEST(EngineListVersion, OlderListsAreIgnoredUntilNothingElseComes) {
+TEST(EngineListVersion, RequestsResyncForOlderListsUntilNoNewerListArrives) {
   using V = EngineListVersion::Decision;
   EngineListVersion version;
   const auto at = [](double s) { return Instant(Duration(s)); };
   EXPECT_EQ(version.classify(41, true, at(0)), V::kApply);
   EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);
-  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);  // repeated: the same
-  EXPECT_EQ(version.classify(40, true, at(2)), V::kResync);  // a replica that lags
+  EXPECT_EQ(version.classify(43, false, at(1)), V::kApply);  // a repeated index is applied again
+  EXPECT_EQ(version.classify(40, true, at(2)), V::kResync);  // from a discovery replica that lags behind
   EXPECT_EQ(version.classify(44, false, at(2.1)), V::kApply);
   EXPECT_EQ(version.classify(2, false, at(10)), V::kResync);
   EXPECT_EQ(version.classify(2, true, at(10.5)), V::kResync);
-  EXPECT_EQ(version.classify(2, true, at(12.5)), V::kApply);  // it counts anew
+  EXPECT_EQ(version.classify(2, true, at(12.5)), V::kApply);  // discovery has restarted its numbering
   EXPECT_EQ(version.latestIndex(), 2U);
   EXPECT_EQ(version.classify(3, false, at(13)), V::kApply);
 }
--- a/tests/engine_response_test.cpp
+++ b/tests/engine_response_test.cpp
@@ -1,4 +1,4 @@
-// What responses of engines mean: statuses, load reports and streams of events, without sockets.
+// Tests of the interpretation of engine responses: statuses, load reports and event streams, without sockets.
 #include "platform/engine_response.h"
 
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 
 using namespace test;
 
-// Every row of the outcome table.
-TEST(AttemptOutcomes, EachWayAnAttemptEndsIsOneOutcome) {
+// Covers every row of the outcome table: statuses, rejections and failed calls.
+TEST(AttemptOutcomes, MapsStatusesAndCallResultsToOutcomes) {
   EXPECT_EQ(outcomeOf(202, false, AttemptKind::kPrefill), Outcome::kPrefilled);
   EXPECT_EQ(outcomeOf(500, false, AttemptKind::kDecode), Outcome::kError);
   EXPECT_EQ(outcomeOf(503, true, AttemptKind::kDecode), Outcome::kRejected);
   EXPECT_EQ(outcomeOf(504, true, AttemptKind::kPrefill), Outcome::kRejected);
-  EXPECT_EQ(outcomeOf(503, false, AttemptKind::kDecode), Outcome::kError);  // it may have run
+  EXPECT_EQ(outcomeOf(503, false, AttemptKind::kDecode), Outcome::kError);  // not rejected: it may have run
   EXPECT_EQ(outcomeOf(410, true, AttemptKind::kDecode), Outcome::kStateLost);
   EXPECT_EQ(outcomeOf(http1::CallResult::kNotConnected), Outcome::kConnectFailed);
   EXPECT_EQ(outcomeOf(http1::CallResult::kConnectionLost), Outcome::kReset);
@@ -25,19 +25,19 @@
   EXPECT_EQ(outcomeOf(http1::CallResult::kNoConnectionAvailable), Outcome::kNotSent);
 }
 
-TEST(LoadReports, AreParsedOrIgnored) {
+TEST(LoadReports, ParsesValidReportsAndIgnoresMalformedOnes) {
   const auto load = parseLoadReport(" TEXT mean_ms=12.5, x0=0.5, x1=3, queue=2");
   ASSERT_TRUE(load);
   EXPECT_DOUBLE_EQ(*load->memoryUtilization, 0.5);
   EXPECT_DOUBLE_EQ(*load->queuedPrefillTokens, 3000);
   EXPECT_DOUBLE_EQ(*load->requestsQueued, 2);
   EXPECT_FALSE(load->requestsInFlight);
-  for (const char* const bad : {"", "JSON {}", "TEXT x0", "TEXT x0=", "TEXT x0=a",
-                                "TEXT x0=1, =", "TEXT x0=-1", "TEXT x0=nan", "TEXT x0=1e999"})
-    EXPECT_FALSE(parseLoadReport(bad)) << bad;
+  for (const char* const malformed : {"", "JSON {}", "TEXT x0", "TEXT x0=", "TEXT x0=a",
+                                      "TEXT x0=1, =", "TEXT x0=-1", "TEXT x0=nan", "TEXT x0=1e999"})
+    EXPECT_FALSE(parseLoadReport(malformed)) << malformed;
 }
 
-TEST(EventStreams, DeliverCompleteEventsHoweverTheyAreCut) {
+TEST(EventStreams, DeliversCompleteEventsForAnyInputPieceSize) {
   const std::string bytes =
       eventOf("a") + eventOf("b") + ": X-Load-Report: TEXT x0=0.5\n\n" +
       "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n" + kDone;
--- a/tests/frontend_test.cpp
+++ b/tests/frontend_test.cpp
@@ -1,4 +1,4 @@
-// The frontend of a node: requests of well-behaved and of hostile clients, and its limits.
+// Tests of a node's frontend: well-formed, malformed and excessive requests, and the limits on connections.
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -8,7 +8,7 @@
 
 class FrontendTest : public PlatformTest {};
 
-TEST_F(FrontendTest, ForwardsAStreamUnchangedAndKeepsItsConnections) {
+TEST_F(FrontendTest, ForwardsStreamUnchangedAndReusesConnections) {
   startNode();
   const auto peer = client();
   for (const char* const id : {"one", "two"}) {
@@ -34,10 +34,10 @@
   EXPECT_EQ(node->core().counters().served, 2U);
 }
 
-TEST_F(FrontendTest, EachMalformedRequestGetsAnErrorAndReachesNoEngine) {
+TEST_F(FrontendTest, RejectsMalformedRequestsWithoutForwardingThem) {
   startNode();
   const std::string path = "POST /v1/chat/completions HTTP/1.1\r\n";
-  const std::vector<std::pair<std::string, int>> kinds = {
+  const std::vector<std::pair<std::string, int>> cases = {
       {"\x01\x02nonsense\r\n\r\n", 400},
       {path + "X: " + std::string(20000, 'y') + "\r\n", 431},
       {path + "Content-Length: -3\r\n\r\n", 400},
@@ -52,7 +52,7 @@
       {chatRequest("a", "", "chat", "4800", "{\"messages\":"), 400},
       {"GET /v1/chat/completions HTTP/1.1\r\n\r\n", 405},
       {"POST /elsewhere HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 404}};
-  for (const auto& [bytes, status] : kinds) {
+  for (const auto& [bytes, status] : cases) {
     const auto peer = sendFromNewClient(bytes);
     EXPECT_EQ(statusOf(peer), status) << bytes.substr(0, 120);
     EXPECT_TRUE(runUntil([&] { return peer->closed; }));
@@ -63,7 +63,7 @@
   EXPECT_EQ(statusOf(good), 200);
 }
 
-TEST_F(FrontendTest, TheClientsOwnFieldsAreForwardedAndThoseOfItsConnectionAreNot) {
+TEST_F(FrontendTest, ForwardsEndToEndFieldsAndDropsHopByHopFields) {
   startNode();
   const auto peer = sendFromNewClient(
       chatRequest("keyed",
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_F(FrontendTest, TheIdOfAnOpenRequestIsRejectedAndLeavesThatRequestAlone) {
+TEST_F(FrontendTest, RejectsIdOfOpenRequestWithoutAffectingThatRequest) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
   };
@@ -97,14 +97,14 @@
   EXPECT_EQ(prefillEngine.requests.size(), 1U);
 }
 
-TEST_F(FrontendTest, SilentConnectionsAndHalfRequestsAreClosed) {
+TEST_F(FrontendTest, ClosesSilentConnectionsAndIncompleteRequests) {
   startNode();
-  const auto silent = client(), half = sendFromNewClient(chatRequest("half").substr(0, 150));
-  EXPECT_TRUE(runUntil([&] { return silent->closed && half->closed; }));
-  EXPECT_TRUE(half->hasReceived("HTTP/1.1 408"));
+  const auto silent = client(), incomplete = sendFromNewClient(chatRequest("half").substr(0, 150));
+  EXPECT_TRUE(runUntil([&] { return silent->closed && incomplete->closed; }));
+  EXPECT_TRUE(incomplete->hasReceived("HTTP/1.1 408"));
 }
 
-TEST_F(FrontendTest, ManySilentConnectionsLeaveCapacityForOthers) {
+TEST_F(FrontendTest, ServesRequestDespiteManySilentConnections) {
   sockets = 64;
   startNode();
   std::vector<std::shared_ptr<Peer>> clients;
@@ -116,20 +116,20 @@
             limitsOf(configurationOf(configurationJson())).maxClientConnections);
 }
 
-TEST_F(FrontendTest, PastItsLimitOfOpenRequestsTheNodeRejectsWithRetryAfter) {
+TEST_F(FrontendTest, RejectsWithRetryAfterWhenOpenRequestLimitIsReached) {
   sockets = 64;
-  prefillEngine.script = [](Peer&, const http1::Request&) {};  // answers nothing
+  prefillEngine.script = [](Peer&, const http1::Request&) {};  // answers no request
   startNode();
   const NodeLimits limits = limitsOf(configurationOf(configurationJson()));
   std::vector<std::shared_ptr<Peer>> clients;
-  int refused = 0;
+  int rejected = 0;
   for (std::size_t i = 0; i <= limits.maxOpenRequests; ++i)
     clients.push_back(sendFromNewClient(chatRequest("r" + std::to_string(i))));
   ASSERT_TRUE(runUntil([&] {
-    refused = 0;
+    rejected = 0;
     for (const auto& peer : clients)
-      refused += peer->hasReceived("HTTP/1.1 503") && peer->hasReceived("Retry-After: 1.000");
-    return refused > 0;
+      rejected += peer->hasReceived("HTTP/1.1 503") && peer->hasReceived("Retry-After: 1.000");
+    return rejected > 0;
   }));
   EXPECT_LE(node->engineClient().connectionCount(), limits.maxEngineConnections);
 }
--- a/tests/platform_daemon_test.cpp
+++ b/tests/platform_daemon_test.cpp
@@ -1,4 +1,4 @@
-// `gannetcourse platform` as a process: signals that come together, files that cannot be used, exit codes.
+// Tests of `gannetcourse platform` as a process: signals, invalid configuration files, exit codes.
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -45,20 +45,21 @@
     ASSERT_EQ(posix_spawn(&process_, GANNETCOURSE, &actions, nullptr, arguments, environment), 0);
     posix_spawn_file_actions_destroy(&actions);
   }
-  std::string logged() const {
+  std::string logText() const {
     std::stringstream text;
     text << std::ifstream(folder_ / "log").rdbuf();
     return text.str();
   }
-  bool logs(const std::string& text) {
-    return runUntil([&] { return logged().find(text) != std::string::npos; });
+  bool waitForLog(const std::string& text) {
+    return runUntil([&] { return logText().find(text) != std::string::npos; });
   }
-  // The port that it listens on; 0 where it does not say one.
+  // The port that the process logs as its listening port; 0 if it logs none in time.
   std::uint16_t port() {
-    static const std::string kSays = "listening on port ";
-    if (!logs(kSays)) return 0;
-    const std::string log = logged();
-    return static_cast<std::uint16_t>(std::stoi(log.substr(log.find(kSays) + kSays.size())));
+    static const std::string kListeningText = "listening on port ";
+    if (!waitForLog(kListeningText)) return 0;
+    const std::string log = logText();
+    return static_cast<std::uint16_t>(
+        std::stoi(log.substr(log.find(kListeningText) + kListeningText.size())));
   }
   std::shared_ptr<Peer> sendToProcess(const std::string& request) {
     auto peer = std::make_shared<Peer>(loop);
@@ -66,7 +67,7 @@
     peer->send(request);
     return peer;
   }
-  // Its exit code; -1 where it does not end, or not by itself.
+  // Waits for the process; returns its exit code, or -1 if it does not end in time or is ended by a signal.
   int exitCode() {
     int status = 0;
     const bool ended = runUntil([&] { return waitpid(process_, &status, WNOHANG) == process_; });
@@ -74,8 +75,8 @@
     process_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // A stream whose first event has come.
-  std::shared_ptr<Peer> streaming() {
+  // Starts a stream and waits until its client has received the first event.
+  std::shared_ptr<Peer> startStream() {
     decodeEngine.script = [](Peer& peer, const http1::Request& request) {
       if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
     };
@@ -88,60 +89,60 @@
   pid_t process_ = -1;
 };
 
-TEST_F(PlatformDaemonTest, HandlesReloadAndTerminationTogetherAndFinishesItsStream) {
+TEST_F(PlatformDaemonTest, FinishesStreamWhenReloadAndTerminationArriveTogether) {
   writeConfiguration(configurationJson());
   launch();
-  const auto peer = streaming();
-  Json fresh = configurationJson();
-  fresh["settings"]["classes"][0]["aimS"] = 2.5;
-  writeConfiguration(fresh);
+  const auto peer = startStream();
+  Json newConfiguration = configurationJson();
+  newConfiguration["settings"]["classes"][0]["aimS"] = 2.5;
+  writeConfiguration(newConfiguration);
   kill(process_, SIGTERM);
   kill(process_, SIGHUP);
   kill(process_, SIGTERM);
-  ASSERT_TRUE(logs("draining"));
-  EXPECT_TRUE(logs("configuration reloaded"));
+  ASSERT_TRUE(waitForLog("draining"));
+  EXPECT_TRUE(waitForLog("configuration reloaded"));
   const auto late = sendToProcess(chatRequest("late"));
   EXPECT_EQ(statusOf(late), 503);
   decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
   EXPECT_TRUE(runUntil([&] { return peer->hasReceived("\r\n0\r\n\r\n"); }));
   EXPECT_EQ(exitCode(), 0);
-  EXPECT_NE(logged().find("drained: "), std::string::npos);
+  EXPECT_NE(logText().find("drained: "), std::string::npos);
 }
 
-TEST_F(PlatformDaemonTest, AFileThatCannotBeUsedLeavesTheOldStateAndOneLine) {
+TEST_F(PlatformDaemonTest, KeepsOldConfigurationWhenReloadedFileIsInvalid) {
   writeConfiguration(configurationJson());
   launch();
   ASSERT_NE(port(), 0);
-  Json bad = configurationJson();
-  bad["settings"]["classes"][1]["idempotency"] = "deduplicated";  // another effect under open requests
-  writeConfiguration(bad);
+  Json invalid = configurationJson();
+  invalid["settings"]["classes"][1]["idempotency"] = "deduplicated";  // would apply to open requests
+  writeConfiguration(invalid);
   kill(process_, SIGHUP);
-  EXPECT_TRUE(logs("reload refused, the old configuration stays"));
+  EXPECT_TRUE(waitForLog("reload refused, the old configuration stays"));
   std::ofstream(folder_ / "config.json") << "{\"name\": ";
   kill(process_, SIGHUP);
-  EXPECT_TRUE(logs("not valid JSON"));
+  EXPECT_TRUE(waitForLog("not valid JSON"));
   EXPECT_EQ(statusOf(sendToProcess(chatRequest("still"))), 200);
   kill(process_, SIGTERM);
   EXPECT_EQ(exitCode(), 0);
 }
 
-// The file may still be written when the signal comes, or not be opened for a moment.
-TEST_F(PlatformDaemonTest, AFileThatIsStillWrittenAtTheSignalIsReadAgain) {
+// The file may be incomplete, or briefly impossible to open, when the reload signal arrives.
+TEST_F(PlatformDaemonTest, RetriesReloadWhenFileIsIncomplete) {
   writeConfiguration(configurationJson());
   launch();
   ASSERT_NE(port(), 0);
   std::ofstream(folder_ / "config.json") << configurationJson().dump().substr(0, 200);
   kill(process_, SIGHUP);
-  ASSERT_TRUE(logs("not valid JSON"));
-  ScriptedServer moved(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); });
-  Json fresh = configurationJson();
-  fresh["discovery"] = moved.address();
-  writeConfiguration(fresh);
-  EXPECT_TRUE(logs("configuration reloaded"));
-  EXPECT_TRUE(runUntil([&] { return !moved.requests.empty(); }));
+  ASSERT_TRUE(waitForLog("not valid JSON"));
+  ScriptedServer newDiscovery(loop, [](Peer& p, const http1::Request&) { p.send(kStreamHead); });
+  Json newConfiguration = configurationJson();
+  newConfiguration["discovery"] = newDiscovery.address();
+  writeConfiguration(newConfiguration);
+  EXPECT_TRUE(waitForLog("configuration reloaded"));
+  EXPECT_TRUE(runUntil([&] { return !newDiscovery.requests.empty(); }));
 }
 
-TEST_F(PlatformDaemonTest, AFileThatIsStillWrittenAtTheStartIsReadAgain) {
+TEST_F(PlatformDaemonTest, RetriesStartWhenFileIsIncomplete) {
   std::ofstream(folder_ / "config.json") << configurationJson().dump().substr(0, 200);
   launch();
   runFor(0.3);
@@ -150,43 +151,44 @@
   EXPECT_EQ(statusOf(sendToProcess(chatRequest("first"))), 200);
 }
 
-// The process that had the address before may still be at its end.
-TEST_F(PlatformDaemonTest, AStartWaitsForItsAddress) {
-  net::Listener before(loop, {}, [](int fd) { close(fd); });
+// The previous process may still be shutting down and listening at the address.
+TEST_F(PlatformDaemonTest, WaitsAtStartUntilItsAddressIsFree) {
+  net::Listener previousListener(loop, {}, [](int fd) { close(fd); });
   Json json = configurationJson();
-  json["listen"] = "127.0.0.1:" + std::to_string(before.port());
+  json["listen"] = "127.0.0.1:" + std::to_string(previousListener.port());
   writeConfiguration(json);
   launch();
-  EXPECT_TRUE(logs("cannot listen"));
-  before.close();
+  EXPECT_TRUE(waitForLog("cannot listen"));
+  previousListener.close();
   EXPECT_NE(port(), 0);
   EXPECT_EQ(statusOf(sendToProcess(chatRequest("first"))), 200);
 }
 
-TEST_F(PlatformDaemonTest, AnExitDoesNotWaitForALogThatNobodyReads) {
-  int ends[2];
-  ASSERT_EQ(pipe2(ends, O_CLOEXEC), 0);
-  fcntl(ends[1], F_SETFL, O_NONBLOCK);
-  while (write(ends[1], "x", 1) == 1) {
+// Standard error is a full pipe that nobody reads, so that writing to the log would block the shutdown.
+TEST_F(PlatformDaemonTest, ExitsWhenLogPipeIsFull) {
+  int pipeEnds[2];
+  ASSERT_EQ(pipe2(pipeEnds, O_CLOEXEC), 0);
+  fcntl(pipeEnds[1], F_SETFL, O_NONBLOCK);
+  while (write(pipeEnds[1], "x", 1) == 1) {
   }
-  fcntl(ends[1], F_SETFL, 0);
+  fcntl(pipeEnds[1], F_SETFL, 0);
   writeConfiguration(configurationJson());
-  launch(ends[1]);
+  launch(pipeEnds[1]);
   ASSERT_TRUE(runUntil([&] { return !discovery.requests.empty(); }));
   kill(process_, SIGTERM);
   EXPECT_EQ(exitCode(), 0);
-  close(ends[0]);
-  close(ends[1]);
+  close(pipeEnds[0]);
+  close(pipeEnds[1]);
 }
 
-TEST_F(PlatformDaemonTest, AStartWithABadFileNamesTheFieldAndEnds) {
-  Json bad = configurationJson();
-  bad["settings"]["limits"]["maxAttempts"] = "six";
-  writeConfiguration(bad);
+TEST_F(PlatformDaemonTest, ExitsAtStartAndNamesInvalidField) {
+  Json invalid = configurationJson();
+  invalid["settings"]["limits"]["maxAttempts"] = "six";
+  writeConfiguration(invalid);
   launch();
   EXPECT_EQ(exitCode(), 1);
-  EXPECT_NE(logged().find("maxAttempts"), std::string::npos);
-  const std::string log = logged();
+  EXPECT_NE(logText().find("maxAttempts"), std::string::npos);
+  const std::string log = logText();
   EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1);
 }
 
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,4 +1,5 @@
-// A node on the platform's protocol, with scripted clients, engines and a discovery on loopback.
+// Test fixture for a platform node with scripted clients, engines and discovery on loopback. It owns the
+// event loop, the scripted servers and the node, and collects the node's log lines above the level "info".
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
 using instance::Json;
 using platform::Configuration;
 
-constexpr double kTimeoutSeconds = 20;  // seconds; only a broken program needs them
+constexpr double kTimeoutSeconds = 20;  // seconds; reached only when a test fails
 
 inline const char* const kSettings = R"({"balancers":1,
   "classes":[{"aimS":1.5,"deadlineS":6.0,"idempotency":"idempotent","name":"chat","worth":3.0,
@@ -58,6 +59,7 @@
     loop.runOnce(Duration(0));
   }
 
+  // Answers a release with status 204; returns false for any other request.
   static bool answerRelease(Peer& peer, const http1::Request& request) {
     if (request.method != "DELETE") return false;
     peer.send("HTTP/1.1 204 No Content\r\n\r\n");
@@ -103,9 +105,9 @@
     std::filesystem::remove(path);
     return c;
   }
-  void startNode(const std::function<void(Json&)>& change = nullptr) {
+  void startNode(const std::function<void(Json&)>& editConfiguration = nullptr) {
     Json json = configurationJson();
-    if (change) change(json);
+    if (editConfiguration) editConfiguration(json);
     node = std::make_unique<platform::Node>(
         loop, configurationOf(json),
         [this](const std::string&, const std::string& level, const std::string& text) {
@@ -129,20 +131,20 @@
     peer->connection.connect({"127.0.0.1", node->port()}, Duration(kTimeoutSeconds));
     return peer;
   }
-  static std::string chatRequest(const std::string& id, const std::string& more = "",
+  static std::string chatRequest(const std::string& id, const std::string& extraFields = "",
                                  const std::string& className = "chat", const std::string& budget = "4800",
                                  const std::string& body = "{\"messages\":[]}") {
     return "POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: " + id +
            "\r\nX-Call-Class: " + className + "\r\nX-Route-Hash: 7f3a9c21e0b4d655\r\nX-Budget-Ms: " + budget +
-           "\r\nX-Call-Info: prefix=5c0f6e1a2b3d4c59,prompt_len=512,prefix_len=48,max_out=80\r\n" + more +
-           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+           "\r\nX-Call-Info: prefix=5c0f6e1a2b3d4c59,prompt_len=512,prefix_len=48,max_out=80\r\n" +
+           extraFields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   std::shared_ptr<Peer> sendFromNewClient(const std::string& request) {
     auto peer = client();
     peer->send(request);
     return peer;
   }
-  // The status of the one answer.
+  // Waits for the response head; returns its status, or 0 if none was received.
   int statusOf(const std::shared_ptr<Peer>& peer) {
     if (!runUntil([&] { return peer->hasReceived("\r\n\r\n") || peer->closed; }) ||
         !peer->hasReceived("HTTP/1.1 "))
@@ -150,12 +152,12 @@
     return std::stoi(peer->received.substr(9, 3));
   }
 
-  // Asks until the node says that it is ready.
+  // Polls the readiness endpoint until it answers 200; false on timeout.
   bool becomesReady() {
     return runUntil([&] { return statusOf(sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n")) == 200; });
   }
 
-  std::size_t sockets = 256;
+  std::size_t sockets = 256;  // the node's limit on open sockets
   net::Loop loop;
   ScriptedServer prefillEngine, decodeEngine, discovery;
   std::unique_ptr<platform::Node> node;
--- a/tests/platform_node_test.cpp
+++ b/tests/platform_node_test.cpp
@@ -1,4 +1,4 @@
-// A complete node: its engine list, a new configuration, the drain.
+// Tests of a complete node: changes of its engine list, reload of its configuration, and drain.
 #include "platform_fixture.h"
 
 namespace gannetcourse::platform {
@@ -8,7 +8,7 @@
 
 class PlatformNodeTest : public PlatformTest {};
 
-TEST_F(PlatformNodeTest, TheWatchChangesTheListAndIsOpenedAgainWhereItEnded) {
+TEST_F(PlatformNodeTest, AppliesListChangeAndReopensEndedWatchFromItsIndex) {
   discovery.script = [&](Peer& peer, const http1::Request& request) {
     peer.send(kStreamHead);
     if (request.target == "/api/targets?watch=1&from=7")
@@ -22,46 +22,47 @@
   };
   startNode();
   EXPECT_TRUE(runUntil([&] { return discovery.count("GET", "/api/targets?watch=1&from=9") > 0; }));
-  prefillEngine.script = [](Peer& peer, const http1::Request& request) {  // plays both roles now
+  prefillEngine.script = [](Peer& peer, const http1::Request& request) {  // now in both roles
     if (request.fields.find("X-Call-Id") != nullptr && *request.fields.find("X-Call-Id") == "seen")
       return answerPrefill(peer, request);
     answerDecode(peer, request);
   };
   const auto peer = sendFromNewClient(chatRequest("seen"));
   ASSERT_TRUE(runUntil(
-      [&] { return prefillEngine.requests.size() >= 2; }));  // the read, then the write at its new place
+      [&] { return prefillEngine.requests.size() >= 2; }));  // the prefill, then the decode at engine w2
   EXPECT_TRUE(decodeEngine.requests.empty());
 }
 
-TEST_F(PlatformNodeTest, ANewConfigurationMovesTheWatchAndLosesNothing) {
-  ScriptedServer other(loop, [](Peer& peer, const http1::Request&) { peer.send(kStreamHead); });
+TEST_F(PlatformNodeTest, ReloadMovesWatchAndKeepsOpenRequests) {
+  ScriptedServer newDiscovery(loop, [](Peer& peer, const http1::Request&) { peer.send(kStreamHead); });
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
   };
   startNode();
   const auto peer = sendFromNewClient(chatRequest("open"));
   ASSERT_TRUE(runUntil([&] { return peer->hasReceived("\"a\""); }));
-  Json fresh = configurationJson();
-  fresh["discovery"] = other.address();
-  fresh["settings"]["classes"].push_back({{"aimS", 2.0}, {"idempotency", "idempotent"}, {"name", "new"}});
-  node->reload(configurationOf(fresh));
-  EXPECT_TRUE(runUntil([&] { return other.count("GET", "/api/targets?watch=1&from=7") == 1; }));
-  EXPECT_FALSE(discovery.peers.front()->closed);  // until the new address has spoken
-  other.peers.front()->send(chunkOf("\n"));
+  Json newConfiguration = configurationJson();
+  newConfiguration["discovery"] = newDiscovery.address();
+  newConfiguration["settings"]["classes"].push_back(
+      {{"aimS", 2.0}, {"idempotency", "idempotent"}, {"name", "new"}});
+  node->reload(configurationOf(newConfiguration));
+  EXPECT_TRUE(runUntil([&] { return newDiscovery.count("GET", "/api/targets?watch=1&from=7") == 1; }));
+  EXPECT_FALSE(discovery.peers.front()->closed);  // until the new address has responded
+  newDiscovery.peers.front()->send(chunkOf("\n"));
   EXPECT_TRUE(runUntil([&] { return discovery.peers.front()->closed; }));
   decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
   EXPECT_TRUE(runUntil([&] { return peer->hasReceived("0\r\n\r\n"); }));
   decodeEngine.script = [](Peer& p, const http1::Request& r) { answerDecode(p, r); };
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("later", "", "new"))), 200);
-  Json swapped = fresh;  // alike but for the names: requests that are open would change their class
+  Json swapped = newConfiguration;  // exchanges two classes, so that open requests would change their class
   std::swap(swapped["settings"]["classes"][0], swapped["settings"]["classes"][2]);
   EXPECT_THROW(node->reload(configurationOf(swapped)), std::invalid_argument);
   EXPECT_EQ(statusOf(sendFromNewClient(chatRequest("after", "", "new"))), 200);
-  fresh["settings"]["classes"][1]["idempotency"] = "idempotent";
-  EXPECT_THROW(node->reload(configurationOf(fresh)), std::invalid_argument);
+  newConfiguration["settings"]["classes"][1]["idempotency"] = "idempotent";
+  EXPECT_THROW(node->reload(configurationOf(newConfiguration)), std::invalid_argument);
 }
 
-TEST_F(PlatformNodeTest, ADrainFinishesStreamsAnswersTheRestAndEnds) {
+TEST_F(PlatformNodeTest, DrainFinishesStreamsRejectsNewRequestsAndCompletes) {
   decodeEngine.script = [](Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) peer.send(kStreamHead + chunkOf(eventOf("a")));
   };
@@ -72,9 +73,9 @@
   bool done = false;
   node->drain([&] { done = true; });
   EXPECT_EQ(statusOf(sendFromNewClient("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
-  const auto refused = sendFromNewClient(chatRequest("new"));
-  EXPECT_EQ(statusOf(refused), 503);
-  EXPECT_TRUE(refused->hasReceived("Connection: close"));
+  const auto rejected = sendFromNewClient(chatRequest("new"));
+  EXPECT_EQ(statusOf(rejected), 503);
+  EXPECT_TRUE(rejected->hasReceived("Connection: close"));
   runFor(1.5);
   EXPECT_FALSE(done);  // the stream is still open
   decodeEngine.peers.front()->send(chunkOf(kDone) + "0\r\n\r\n");
@@ -82,7 +83,7 @@
   EXPECT_TRUE(runUntil([&] { return done; }));
 }
 
-TEST_F(PlatformNodeTest, AConfigurationIsParsedOrRejectedInOneLine) {
+TEST_F(PlatformNodeTest, LoadsValidConfigurationAndNamesInvalidField) {
   const Configuration c = configurationOf(configurationJson());
   EXPECT_EQ(c.policySettings.seed, 0x92094eb940cf389aU);
   ASSERT_EQ(c.policySettings.classes.size(), 2U);
@@ -92,16 +93,16 @@
   EXPECT_DOUBLE_EQ(c.policySettings.stateLeaseLimit.count(), 1);
   EXPECT_TRUE(c.policySettings.clientsHonorRetryAfter);
   EXPECT_EQ(c.names.zoneIndex("south"), 1U);
-  Json bad = configurationJson();
-  bad["listen"] = "nowhere";
-  EXPECT_THROW(configurationOf(bad), std::runtime_error);
-  bad = configurationJson();
-  bad["settings"]["limits"]["maxAttempts"] = "six";
+  Json invalid = configurationJson();
+  invalid["listen"] = "nowhere";
+  EXPECT_THROW(configurationOf(invalid), std::runtime_error);
+  invalid = configurationJson();
+  invalid["settings"]["limits"]["maxAttempts"] = "six";
   try {
-    configurationOf(bad);
+    configurationOf(invalid);
     ADD_FAILURE();
-  } catch (const std::runtime_error& fault) {
-    EXPECT_NE(std::string(fault.what()).find("maxAttempts"), std::string::npos);
+  } catch (const std::runtime_error& error) {
+    EXPECT_NE(std::string(error.what()).find("maxAttempts"), std::string::npos);
   }
 }
 
--- a/tests/platform_peers.h
+++ b/tests/platform_peers.h
@@ -1,4 +1,5 @@
-// Scripted clients, engines and a discovery on loopback for a platform node; ports come from the kernel.
+// Scripted clients, engines and discovery for tests of a platform node. They use loopback sockets whose ports
+// the kernel assigns.
 #pragma once
 
 #include <functional>
@@ -24,7 +25,7 @@
 inline std::string eventOf(const std::string& text) { return "data: {\"content\":\"" + text + "\"}\n\n"; }
 inline const std::string kDone = "data: [DONE]\n\n";
 
-// One end of a connection: keeps all that it receives, sends what a test gives it.
+// One end of a connection. Stores all bytes that it receives and sends the bytes that a test passes to it.
 class Peer final : public net::ConnectionOwner {
  public:
   explicit Peer(net::Loop& loop) : connection(loop, *this) {}
@@ -54,7 +55,8 @@
   std::function<void()> onReceived;
 };
 
-// A server whose requests are answered by a script, one at a time on each connection.
+// An HTTP/1.1 server that calls a script for each request, one at a time on each connection. It records the
+// requests and owns the accepted connections.
 class ScriptedServer {
  public:
   using Script = std::function<void(Peer&, const http1::Request&)>;
--- a/tests/random_interleavings_test.cpp
+++ b/tests/random_interleavings_test.cpp
@@ -1,6 +1,6 @@
-// Nodes under seeded interleavings of faults: clients that disconnect, engines that fail in every way,
-// drains, watches that break, and a shutdown, in stepped time. The rules are checked after each step; a
-// failure names its seed.
+// Runs nodes under seeded random interleavings of faults, in simulated time: clients that disconnect, engines
+// that fail in different ways, drains, watches that break, and a shutdown. The rules are checked after each
+// step; a failure names its seed.
 #include <random>
 
 #include "rule_audit.h"
@@ -11,8 +11,8 @@
 
 using namespace test;
 
-constexpr double kPlayedSeconds = 12;        // seconds of clients, engines and discovery
-constexpr double kListPropagationLimit = 6;  // a change must be known this long after discovery has it
+constexpr double kRunSeconds = 12;           // simulated seconds with faults, before the drain
+constexpr double kListPropagationLimit = 6;  // seconds after which the node must know a change
 
 class RandomInterleavings : public SteppedTest, public ::testing::WithParamInterface<unsigned> {
  protected:
@@ -22,17 +22,19 @@
         random_(GetParam()) {
     prefillEngine.script = [this](Peer& p, const http1::Request& r) { servePrefill(p, r, 0); };
     decodeEngine.script = [this](Peer& p, const http1::Request& r) { serveDecode(p, r, 1); };
-    discovery.script = [this](Peer& p, const http1::Request&) { beginWatch(p); };
+    discovery.script = [this](Peer& p, const http1::Request&) { answerWatch(p); };
   }
   ~RandomInterleavings() override { node.reset(); }
 
-  double clock() const { return now().time_since_epoch().count(); }
-  bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
-  double between(double least, double most) {
-    return std::uniform_real_distribution<double>(least, most)(random_);
+  double nowSeconds() const { return now().time_since_epoch().count(); }
+  bool withProbability(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
-  std::size_t oneOf(std::size_t count) { return random_() % count; }
-  void later(double seconds, std::function<void()> task) {
+  double uniform(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  std::size_t randomIndex(std::size_t count) { return random_() % count; }
+  void runLater(double seconds, std::function<void()> task) {
     loop.runAfter(Duration(seconds), std::move(task));
   }
 
@@ -51,7 +53,7 @@
   // ---- Discovery ----
   struct EngineState {
     bool draining = false;
-    double drainKnownAt = 1e18;  // when the node must know that it is draining
+    double drainKnownAt = 1e18;  // time by which the node must know of the drain; 1e18: not draining
   };
   Json entryOf(std::size_t i) {
     static const char* const kNames[] = {"r1", "w1", "r2", "w2"};
@@ -65,53 +67,53 @@
     for (std::size_t i = 0; i < states_.size(); ++i) all.push_back(entryOf(i));
     return all;
   }
-  void beginWatch(Peer& peer) {
+  void answerWatch(Peer& peer) {
     if (silent_) return;
-    openWatches_.push_back(shared(discovery, peer));
+    openWatches_.push_back(sharedPeer(discovery, peer));
     peer.send(kStreamHead +
-              chunkOf(engineListJson(index_, true, entries()).dump(chance(0.3) ? 2 : -1) + "\n"));
+              chunkOf(engineListJson(index_, true, entries()).dump(withProbability(0.3) ? 2 : -1) + "\n"));
     markDrainsKnown();
   }
   void markDrainsKnown() {
     for (EngineState& s : states_) {
-      if (s.draining) s.drainKnownAt = std::min(s.drainKnownAt, clock());
+      if (s.draining) s.drainKnownAt = std::min(s.drainKnownAt, nowSeconds());
     }
   }
   void changeEngine() {
-    const std::size_t i = oneOf(states_.size());
+    const std::size_t i = randomIndex(states_.size());
     EngineState& state = states_[i];
     state.draining = !state.draining;
-    state.drainKnownAt = state.draining ? clock() + kListPropagationLimit : 1e18;
+    state.drainKnownAt = state.draining ? nowSeconds() + kListPropagationLimit : 1e18;
     ++index_;
     for (const auto& peer : openWatches_) {
       if (peer->closed) continue;
       peer->send(chunkOf(engineListJson(index_, false, {entryOf(i)}).dump() + "\n"));
-      if (state.draining) state.drainKnownAt = std::min(state.drainKnownAt, clock());
+      if (state.draining) state.drainKnownAt = std::min(state.drainKnownAt, nowSeconds());
     }
   }
   void injectWatchFault() {
-    const std::size_t kind = oneOf(3);
-    if (kind == 0) {
+    const std::size_t behavior = randomIndex(3);
+    if (behavior == 0) {
       silent_ = true;
-      later(between(0.2, 2), [this] { silent_ = false; });
+      runLater(uniform(0.2, 2), [this] { silent_ = false; });
     }
-    for (const auto& peer : std::exchange(openWatches_, {})) {  // none of them delivers anything more
-      if (!peer->closed && kind == 1) {
+    for (const auto& peer : std::exchange(openWatches_, {})) {  // none of them delivers further changes
+      if (!peer->closed && behavior == 1) {
         peer->connection.abort();
         peer->closed = true;
       }
-      if (!peer->closed && kind == 2) peer->send(chunkOf("{\"index\": "));  // half an object
+      if (!peer->closed && behavior == 2) peer->send(chunkOf("{\"index\": "));  // a partial object
     }
   }
-  void emptyLines() {
+  void sendEmptyLinesPeriodically() {
     for (const auto& peer : openWatches_) {
       if (!peer->closed) peer->send(chunkOf("\n"));
     }
-    later(2, [this] { emptyLines(); });
+    runLater(2, [this] { sendEmptyLinesPeriodically(); });
   }
 
   // ---- Engines ----
-  std::shared_ptr<Peer> shared(ScriptedServer& engine, const Peer& peer) {
+  std::shared_ptr<Peer> sharedPeer(ScriptedServer& engine, const Peer& peer) {
     for (const auto& p : engine.peers) {
       if (p.get() == &peer) return p;
     }
@@ -121,13 +123,13 @@
     ScriptedServer* const all[] = {&prefillEngine, &decodeEngine, &secondPrefillEngine, &secondDecodeEngine};
     return *all[i];
   }
-  // An attempt that an engine serves, until either side ends it.
+  // An attempt at an engine, until either side ends it.
   struct ServedAttempt {
     std::string id;
     std::shared_ptr<Peer> peer;
-    bool over = false, stateStays = true;
+    bool ended = false, stateStays = true;
   };
-  bool handleRelease(Peer& peer, const http1::Request& request) {
+  bool recordRelease(Peer& peer, const http1::Request& request) {
     if (!answerRelease(peer, request)) return false;
     audit.onRelease(request.target.substr(request.target.rfind('/') + 1));
     return true;
@@ -135,23 +137,23 @@
   std::shared_ptr<ServedAttempt> onAttempt(Peer& peer, const http1::Request& request, std::size_t engine) {
     auto attempt = std::make_shared<ServedAttempt>();
     attempt->id = *request.fields.find("X-Call-Id");
-    attempt->peer = shared(engineAt(engine), peer);
-    // The node may have closed an earlier one just now: the bytes in the kernel decide, whichever event comes
-    // first.
+    attempt->peer = sharedPeer(engineAt(engine), peer);
+    // The node may just have closed an earlier attempt. Reads from the kernel to notice that, because the
+    // event for the new attempt may be handled before the one for the close.
     for (const auto& earlier : servedAttempts_) {
-      if (earlier->id == attempt->id && !earlier->over && !earlier->peer->closed)
+      if (earlier->id == attempt->id && !earlier->ended && !earlier->peer->closed)
         earlier->peer->connection.readNow();
     }
     noticeCancelledAttempts();
-    audit.onAttemptReceived(attempt->id, engine % 2 == 1, states_[engine].drainKnownAt, clock());
+    audit.onAttemptReceived(attempt->id, engine % 2 == 1, states_[engine].drainKnownAt, nowSeconds());
     servedAttempts_.push_back(attempt);
     return attempt;
   }
   void endAttempt(ServedAttempt& attempt, bool stateStays) {
-    if (std::exchange(attempt.over, true)) return;
-    audit.onAttemptEnded(attempt.id, stateStays, clock());
+    if (std::exchange(attempt.ended, true)) return;
+    audit.onAttemptEnded(attempt.id, stateStays, nowSeconds());
   }
-  bool alive(const ServedAttempt& attempt) const { return !attempt.over && !attempt.peer->closed; }
+  bool isOpen(const ServedAttempt& attempt) const { return !attempt.ended && !attempt.peer->closed; }
   void breakConnection(ServedAttempt& attempt, bool reset) {
     attempt.peer->disconnect(reset);
     attempt.peer->closed = true;
@@ -163,60 +165,60 @@
   }
 
   void servePrefill(Peer& peer, const http1::Request& request, std::size_t engine) {
-    if (handleRelease(peer, request)) return;
+    if (recordRelease(peer, request)) return;
     const auto attempt = onAttempt(peer, request, engine);
-    later(chance(0.5) ? 0 : between(0, 0.3), [this, attempt, kind = oneOf(30)] {
-      if (!alive(*attempt)) return;
-      if (kind < 26) {
+    runLater(withProbability(0.5) ? 0 : uniform(0, 0.3), [this, attempt, behavior = randomIndex(30)] {
+      if (!isOpen(*attempt)) return;
+      if (behavior < 26) {
         endAttempt(*attempt, false);
-        audit.onStateCreated(attempt->id, clock());
+        audit.onStateCreated(attempt->id, nowSeconds());
         attempt->peer->send("HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\":40}");
-      } else if (kind == 26) {
+      } else if (behavior == 26) {
         rejectAttempt(*attempt, 503);
-      } else if (kind == 27) {
+      } else if (behavior == 27) {
         endAttempt(*attempt, false);
         attempt->peer->send("HTTP/1.1 500 Internal\r\n" +
-                            std::string(chance(0.5) ? "" : "Content-Length: 0\r\n") + "\r\n");
-      } else if (kind == 28) {
+                            std::string(withProbability(0.5) ? "" : "Content-Length: 0\r\n") + "\r\n");
+      } else if (behavior == 28) {
         endAttempt(*attempt, false);
-        breakConnection(*attempt, chance(0.5));
+        breakConnection(*attempt, withProbability(0.5));
       }  // else the engine stays silent
     });
   }
 
   void serveDecode(Peer& peer, const http1::Request& request, std::size_t engine) {
-    if (handleRelease(peer, request)) return;
+    if (recordRelease(peer, request)) return;
     const auto attempt = onAttempt(peer, request, engine);
-    const std::size_t kind = chance(0.7) ? 4 + oneOf(4) : oneOf(14);
-    if (kind != 8 && kind != 9) audit.onPossibleExecution(attempt->id, clock());
-    later(chance(0.5) ? 0 : between(0, 0.4), [this, attempt, kind] {
-      if (!alive(*attempt)) return;
-      if (kind < 8) {
+    const std::size_t behavior = withProbability(0.7) ? 4 + randomIndex(4) : randomIndex(14);
+    if (behavior != 8 && behavior != 9) audit.onPossibleExecution(attempt->id, nowSeconds());
+    runLater(withProbability(0.5) ? 0 : uniform(0, 0.4), [this, attempt, behavior] {
+      if (!isOpen(*attempt)) return;
+      if (behavior < 8) {
         attempt->peer->send(kStreamHead);
-        return sendEvents(attempt, 2 + static_cast<int>(oneOf(6)), kind);
+        return sendEvents(attempt, 2 + static_cast<int>(randomIndex(6)), behavior);
       }
-      if (kind == 8) return rejectAttempt(*attempt, 503);
-      if (kind == 9) return rejectAttempt(*attempt, 410);
-      if (kind == 10) attempt->peer->send("HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n");
-      if (kind == 11) attempt->peer->send("noise\r\n\r\n");
-      if (kind == 12) breakConnection(*attempt, chance(0.5));
-      if (kind < 13) endAttempt(*attempt, true);
+      if (behavior == 8) return rejectAttempt(*attempt, 503);
+      if (behavior == 9) return rejectAttempt(*attempt, 410);
+      if (behavior == 10) attempt->peer->send("HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n");
+      if (behavior == 11) attempt->peer->send("noise\r\n\r\n");
+      if (behavior == 12) breakConnection(*attempt, withProbability(0.5));
+      if (behavior < 13) endAttempt(*attempt, true);
     });
   }
-  void sendEvents(const std::shared_ptr<ServedAttempt>& attempt, int left, std::size_t kind) {
-    if (!alive(*attempt)) return;
+  void sendEvents(const std::shared_ptr<ServedAttempt>& attempt, int left, std::size_t behavior) {
+    if (!isOpen(*attempt)) return;
     if (left > 0) {
-      audit.onEventSent(attempt->id, clock());
+      audit.onEventSent(attempt->id, nowSeconds());
       attempt->peer->send(chunkOf(eventOf("t" + std::to_string(left))));
-      return later(between(0, 0.4), [=, this] { sendEvents(attempt, left - 1, kind); });
+      return runLater(uniform(0, 0.4), [=, this] { sendEvents(attempt, left - 1, behavior); });
     }
     endAttempt(*attempt, false);
-    if (kind == 0) return breakConnection(*attempt, chance(0.5));
-    if (kind == 1) return attempt->peer->send(chunkOf("data: half"));
+    if (behavior == 0) return breakConnection(*attempt, withProbability(0.5));
+    if (behavior == 1) return attempt->peer->send(chunkOf("data: half"));
     attempt->peer->send(chunkOf(kDone) + "0\r\n\r\n");
-    if (kind == 2) breakConnection(*attempt, true);  // right behind its end
-    if (kind == 3)
-      later(0.01, [attempt] {  // a second response
+    if (behavior == 2) breakConnection(*attempt, true);  // reset directly after the last chunk
+    if (behavior == 3)
+      runLater(0.01, [attempt] {  // a second response on the same connection
         if (!attempt->peer->closed)
           attempt->peer->send(kStreamHead + chunkOf(eventOf("stray")) + "0\r\n\r\n");
       });
@@ -224,9 +226,9 @@
   // Attempts whose connection the node has closed.
   void noticeCancelledAttempts() {
     for (const auto& attempt : servedAttempts_) {
-      if (!attempt->over && attempt->peer->closed) endAttempt(*attempt, true);
+      if (!attempt->ended && attempt->peer->closed) endAttempt(*attempt, true);
     }
-    std::erase_if(servedAttempts_, [](const auto& attempt) { return attempt->over; });
+    std::erase_if(servedAttempts_, [](const auto& attempt) { return attempt->ended; });
   }
 
   // ---- Clients ----
@@ -234,50 +236,53 @@
     std::string id;
     std::shared_ptr<Peer> peer;
     double disconnectsAt = 1e18, deadline = 0;
-    bool over = false;
+    bool ended = false;
   };
   void sendRequest() {
     static const std::pair<const char*, Idempotency> kClasses[] = {{"chat", Idempotency::kIdempotent},
                                                                    {"pay", Idempotency::kAtMostOnce},
                                                                    {"note", Idempotency::kIdempotencyKey}};
-    const auto& [name, effect] = kClasses[oneOf(3)];
+    const auto& [name, idempotency] = kClasses[randomIndex(3)];
     ClientRequest request;
     request.id = "q" + std::to_string(++requestCount_);
-    const int budget = 200 + static_cast<int>(oneOf(2500));
-    request.deadline = clock() + budget / 1000.0;
-    audit.onRequest(request.id, effect, request.deadline);
+    const int budget = 200 + static_cast<int>(randomIndex(2500));
+    request.deadline = nowSeconds() + budget / 1000.0;
+    audit.onRequest(request.id, idempotency, request.deadline);
     request.peer = client();
-    if (chance(0.25)) request.disconnectsAt = clock() + between(0, 1);
+    if (withProbability(0.25)) request.disconnectsAt = nowSeconds() + uniform(0, 1);
     request.peer->send(PlatformTest::chatRequest(request.id, "", name, std::to_string(budget)));
     clientRequests_.push_back(std::move(request));
   }
   void checkClients() {
-    for (ClientRequest& a : clientRequests_) {
-      if (a.over) continue;
-      if (clock() >= a.disconnectsAt) {
-        const bool reset = !chance(0.5);
-        a.peer->disconnect(reset);
-        audit.onClientDisconnected(a.id, clock());
-        a.over = true;
+    for (ClientRequest& request : clientRequests_) {
+      if (request.ended) continue;
+      if (nowSeconds() >= request.disconnectsAt) {
+        const bool reset = !withProbability(0.5);
+        request.peer->disconnect(reset);
+        audit.onClientDisconnected(request.id, nowSeconds());
+        request.ended = true;
         continue;
       }
-      const std::string& got = a.peer->received;
-      if (audit.history(a.id).respondedAt < 0 && a.peer->hasReceived("\r\n\r\n"))
-        audit.onFinalResponse(a.id, std::stoi(got.substr(9, 3)), clock());
-      // A connection that the node rejects while it shuts down counts as a response: the client tries
-      // elsewhere.
-      if (audit.history(a.id).respondedAt < 0 && a.peer->closed) audit.onFinalResponse(a.id, 0, clock());
+      const std::string& received = request.peer->received;
+      if (audit.history(request.id).respondedAt < 0 && request.peer->hasReceived("\r\n\r\n"))
+        audit.onFinalResponse(request.id, std::stoi(received.substr(9, 3)), nowSeconds());
+      // A connection that the node closes during its shutdown counts as a response: the client can try
+      // another node.
+      if (audit.history(request.id).respondedAt < 0 && request.peer->closed)
+        audit.onFinalResponse(request.id, 0, nowSeconds());
       std::size_t events = 0;
-      for (std::size_t at = 0; (at = got.find("{\"content\":\"t", at)) != std::string::npos; ++at) ++events;
-      audit.onEventsReceived(a.id, events, clock());
-      a.over = a.peer->closed || a.peer->hasReceived("\r\n0\r\n\r\n") || audit.history(a.id).status >= 400;
-      EXPECT_EQ(got.find("stray"), std::string::npos) << a.id;
+      for (std::size_t at = 0; (at = received.find("{\"content\":\"t", at)) != std::string::npos; ++at)
+        ++events;
+      audit.onEventsReceived(request.id, events, nowSeconds());
+      request.ended = request.peer->closed || request.peer->hasReceived("\r\n0\r\n\r\n") ||
+                      audit.history(request.id).status >= 400;
+      EXPECT_EQ(received.find("stray"), std::string::npos) << request.id;
     }
-    std::erase_if(clientRequests_, [&](const ClientRequest& a) {
-      const bool over = a.over && clock() > a.deadline + 1;  // anything else would have come by now
-      if (over && a.peer->received.find("HTTP/1.1 ", 1) != std::string::npos)
-        ADD_FAILURE() << a.id << " twice";
-      return over;
+    std::erase_if(clientRequests_, [&](const ClientRequest& request) {
+      const bool ended = request.ended && nowSeconds() > request.deadline + 1;  // no more bytes are expected
+      if (ended && request.peer->received.find("HTTP/1.1 ", 1) != std::string::npos)
+        ADD_FAILURE() << request.id << ": received two responses";
+      return ended;
     });
   }
 
@@ -285,7 +290,7 @@
     advance(kTick.count());
     noticeCancelledAttempts();
     checkClients();
-    audit.check(clock());
+    audit.check(nowSeconds());
   }
 
   ScriptedServer secondPrefillEngine, secondDecodeEngine;
@@ -297,26 +302,26 @@
   std::array<EngineState, 4> states_;
   std::uint64_t index_ = 7;
   bool silent_ = false;
-  std::vector<std::shared_ptr<Peer>> openWatches_;  // streams that deliver changes
+  std::vector<std::shared_ptr<Peer>> openWatches_;  // watches that deliver changes
   int requestCount_ = 0;
   std::vector<std::shared_ptr<ServedAttempt>> servedAttempts_;
 };
 
-TEST_P(RandomInterleavings, KeepTheRulesAfterEachStep) {
+TEST_P(RandomInterleavings, FollowRulesAfterEachStep) {
   startNodeWithAllClasses();
-  emptyLines();
-  const double endAt = clock() + kPlayedSeconds;
+  sendEmptyLinesPeriodically();
+  const double endAt = nowSeconds() + kRunSeconds;
   bool done = false;
-  while (clock() < endAt && audit.violations().empty()) {
-    if (chance(0.15)) sendRequest();
-    if (chance(0.003)) changeEngine();
-    if (chance(0.002)) injectWatchFault();
+  while (nowSeconds() < endAt && audit.violations().empty()) {
+    if (withProbability(0.15)) sendRequest();
+    if (withProbability(0.003)) changeEngine();
+    if (withProbability(0.002)) injectWatchFault();
     step();
   }
   node->drain([&] { done = true; });
-  const double drainedBy = clock() + 30;
-  while (!done && clock() < drainedBy && audit.violations().empty()) {
-    if (chance(0.02)) sendRequest();
+  const double drainedBy = nowSeconds() + 30;
+  while (!done && nowSeconds() < drainedBy && audit.violations().empty()) {
+    if (withProbability(0.02)) sendRequest();
     step();
   }
   for (const std::string& violation : audit.violations())
@@ -325,7 +330,7 @@
   EXPECT_EQ(node->core().pendingObligations(), 0U);
   EXPECT_EQ(node->engineClient().openCallCount(), 0U);
   EXPECT_EQ(node->engineClient().auxiliaryCalls(), 0U);
-  EXPECT_GT(node->core().counters().served, 5U);  // the run has served something
+  EXPECT_GT(node->core().counters().served, 5U);  // the run must have served requests
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomInterleavings, ::testing::Range(1U, 25U));
--- a/tests/stepped_time.h
+++ b/tests/stepped_time.h
@@ -1,5 +1,6 @@
-// A platform node on loopback sockets whose clock moves only when a test says so: what takes seconds in
-// service takes milliseconds here, and nothing depends on how busy the machine is.
+// Test fixture for a platform node on loopback sockets with simulated time: the clock advances only when a
+// test advances it. Timeouts of seconds take milliseconds, and results do not depend on the load of the
+// machine.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,7 +16,7 @@
 
 namespace gannetcourse::test {
 
-// A blocking socket of its own, outside any loop: acts at the very moment that a test says.
+// A socket that no event loop handles: each operation takes effect when the test calls it.
 class RawSocket {
  public:
   RawSocket() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {}
@@ -24,7 +25,7 @@
   RawSocket(const RawSocket&) = delete;
   RawSocket& operator=(const RawSocket&) = delete;
 
-  // To be called before connect().
+  // Must be called before connect().
   void shrinkReceiveBuffer() {
     const int bytes = 4096;
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
@@ -33,12 +34,12 @@
     const sockaddr_in to = loopback(port);
     return ::connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0;
   }
-  // Sends what the kernel takes without waiting; the number of bytes.
+  // Sends as many bytes as the kernel accepts without blocking; returns their number.
   std::size_t send(std::string_view bytes) {
     const auto sent = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return sent > 0 ? static_cast<std::size_t>(sent) : 0;
   }
-  // What has come by now.
+  // Returns the bytes received so far, without blocking.
   std::string receive() {
     std::string all;
     char buffer[16384];
@@ -52,9 +53,10 @@
     }
   }
   bool ended() const { return ended_; }
+  // Closes the connection with a TCP reset.
   void reset() {
-    const linger now{1, 0};
-    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger immediately{1, 0};
+    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
     close();
   }
   void close() {
@@ -75,7 +77,7 @@
   bool ended_ = false;
 };
 
-// Listens on loopback at a port of the kernel's choice; returns the port.
+// Listens on loopback at a port that the kernel assigns; returns the port.
 inline std::uint16_t listenOnLoopback(const RawSocket& socket, int backlog) {
   sockaddr_in address = RawSocket::loopback(0);
   socklen_t size = sizeof address;
@@ -85,8 +87,8 @@
   return ntohs(address.sin_port);
 }
 
-// Lets the other end of a connection, which is in this process too, keep only little in the kernel: what is
-// more stays in its own buffer.
+// Shrinks the kernel's send buffer of the other end of a connection, which is in this process too, so that
+// unsent bytes stay in that end's own output buffer.
 inline void shrinkSendBufferOfPeer(const RawSocket& socket) {
   sockaddr_in mine{};
   socklen_t size = sizeof mine;
@@ -100,7 +102,8 @@
   }
 }
 
-// A port whose connections do not come up: its queue is full, so that the kernel leaves each try unanswered.
+// A port at which connection attempts are never completed: its accept queue is full, so the kernel does not
+// answer further attempts.
 class UnresponsivePort {
  public:
   UnresponsivePort() {
@@ -115,7 +118,7 @@
   std::uint16_t port_ = 0;
 };
 
-// Bytes through loopback and back: once they are here, what was sent before them has been delivered as well.
+// Sends a byte over loopback and waits for it. When it arrives, all bytes sent earlier have been delivered.
 class DeliveryBarrier {
  public:
   DeliveryBarrier() {
@@ -141,12 +144,12 @@
   SteppedTest() : SteppedTest(std::make_shared<Instant>(Instant(Duration(1000)))) {}
 
   Instant now() const { return *time_; }
-  // All that can happen without time going by.
+  // Runs the loop until nothing more happens at the current simulated time.
   void runUntilIdle() {
-    for (int quiet = 0; quiet < 2;) {
+    for (int idleRounds = 0; idleRounds < 2;) {
       const bool busy = loop.runOnce(Duration(0));
       barrier_.pass();
-      quiet = busy ? 0 : quiet + 1;
+      idleRounds = busy ? 0 : idleRounds + 1;
     }
   }
   void advance(double seconds) {
@@ -156,12 +159,12 @@
       runUntilIdle();
     }
   }
-  // What was sent before has been delivered, though no event has reported it.
+  // Waits until the kernel has delivered all bytes sent so far, without running the loop.
   void deliverSentBytes() { barrier_.pass(); }
-  // The machine stands still in the middle of an iteration.
+  // Advances the clock without running the loop, as if the process had been paused within an iteration.
   void stall(double seconds) { *time_ = now() + Duration(seconds); }
-  // Lets time go by until it is so; false where it is not within the time.
-  bool happensWithin(double seconds, const std::function<bool()>& done) {
+  // Advances the clock in steps of `kTick` until `done` holds; returns false if it does not hold in time.
+  bool becomesTrueWithin(double seconds, const std::function<bool()>& done) {
     const Instant end = now() + Duration(seconds);
     runUntilIdle();
     while (!done() && now() < end) {
@@ -180,8 +183,9 @@
     return prefillEngine.count("DELETE", "/kv/leases/" + id) +
            decodeEngine.count("DELETE", "/kv/leases/" + id);
   }
+  // Answers releases only; every other request stays unanswered.
   static void leaveUnanswered(Peer& peer, const http1::Request& request) { answerRelease(peer, request); }
-  // The newest connection to discovery that is still open.
+  // The newest open connection to discovery; null if there is none.
   std::shared_ptr<Peer> openWatch() const {
     std::shared_ptr<Peer> open;
     for (const auto& peer : discovery.peers) {
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -54,7 +54,7 @@
   fail(FaultyCall::kWatch, ENOMEM, 3);
   std::string got;
   EXPECT_TRUE(
-      happensWithin(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
+      becomesTrueWithin(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(rule(FaultyCall::kWatch).failed, 3U);
 }
@@ -137,7 +137,7 @@
     EXPECT_GT(rule(fault.call).failed, 0U);
     heal();
     std::string got;
-    happensWithin(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
+    becomesTrueWithin(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200") << fault.error;
   }
   EXPECT_EQ(attemptCount(prefillEngine), std::size(kFaults));
@@ -177,7 +177,7 @@
     advance(0.5);
     EXPECT_EQ(late.receive().substr(0, 12), "HTTP/1.1 503") << error;
     late.close();
-    EXPECT_TRUE(happensWithin(2, [&] { return server.busyCount() == 0; })) << error;
+    EXPECT_TRUE(becomesTrueWithin(2, [&] { return server.busyCount() == 0; })) << error;
     heal();
   }
 }
--- a/tests/watch_endings_test.cpp
+++ b/tests/watch_endings_test.cpp
@@ -1,5 +1,5 @@
-// Watches that break at the worst moment: changes reach the node within the limits of the protocol all the
-// same.
+// Tests of watches on discovery that break around a change of the engine list, in simulated time. The change
+// must reach the node within the protocol's limits.
 #include "stepped_time.h"
 
 namespace gannetcourse::platform {
@@ -7,13 +7,14 @@
 
 using namespace test;
 
-constexpr double kPropagationLimit = 6;  // after a watch fell silent, or a change was there to be had
-constexpr double kPropagationLimitAfterReload = 4;  // after SIGHUP moved discovery
+// Limits within which a change must be known, in seconds.
+constexpr double kPropagationLimit = 6;  // after a watch fell silent, or after the change became available
+constexpr double kPropagationLimitAfterReload = 4;  // after a reload (SIGHUP) changed discovery's address
 
 class WatchEndingsTest : public SteppedTest {
  protected:
-  // Every watch gets the list as it stands, while discovery delivers at all.
-  void speak() {
+  // Makes discovery answer each new watch with the current list, except while `silent` is set.
+  void serveEngineLists() {
     discovery.script = [this](Peer& peer, const http1::Request&) {
       if (!silent) peer.send(kStreamHead + chunkOf(list()));
     };
@@ -21,26 +22,27 @@
   std::string list() const {
     return engineListJson(index, true,
                           {engineJson("r1", "prefill", prefillEngine.address()),
-                           engineJson("w1", "decode", decodeEngine.address(), drains ? "draining" : "up")})
+                           engineJson("w1", "decode", decodeEngine.address(), draining ? "draining" : "up")})
                .dump(indent) +
            "\n";
   }
-  // Empty lines on all open watches, as long as they are not silent.
-  void emptyLines(ScriptedServer& from) {
-    for (const auto& peer : from.peers) {
+  // Sends an empty line every 2 s on each open watch on which nothing was received, except while `silent` is
+  // set.
+  void sendEmptyLinesPeriodically(ScriptedServer& server) {
+    for (const auto& peer : server.peers) {
       if (!peer->closed && !silent && peer->received.empty()) peer->send(chunkOf("\n"));
     }
-    loop.runAfter(Duration(2), [this, &from] { emptyLines(from); });
+    loop.runAfter(Duration(2), [this, &server] { sendEmptyLinesPeriodically(server); });
   }
-  // The change is made, and open watches do not hear of it.
-  void drainUnheard() {
+  // Sets the decode engine to draining without notifying the open watches.
+  void drainWithoutNotification() {
     ++index;
-    drains = true;
+    draining = true;
   }
   bool appliesListWithin(double seconds) {
-    return happensWithin(seconds, [&] { return node->listIndex() == index; });
+    return becomesTrueWithin(seconds, [&] { return node->listIndex() == index; });
   }
-  // Once the only decode engine drains, no request is forwarded.
+  // Once the only decode engine drains, the node must reject a request without forwarding it.
   void expectNothingReachesTheDecodeEngine() {
     const std::size_t before = attemptCount(decodeEngine);
     const auto peer = sendFromNewClient(chatRequest("probe" + std::to_string(index), "", "chat", "300"));
@@ -57,18 +59,18 @@
   }
 
   std::uint64_t index = 8;
-  bool drains = false, silent = false;
-  int indent = -1;
+  bool draining = false, silent = false;
+  int indent = -1;  // of the list's JSON text; -1: one line
 };
 
-TEST_F(WatchEndingsTest, SilentFromItsFirstSecond) {
-  for (const int layout : {-1, 2}) {
-    indent = layout;
-    drains = silent = false;
-    speak();
+TEST_F(WatchEndingsTest, AppliesDrainWhenWatchIsSilentAfterFirstList) {
+  for (const int indentation : {-1, 2}) {
+    indent = indentation;
+    draining = silent = false;
+    serveEngineLists();
     startNode();
     ASSERT_TRUE(appliesListWithin(1));
-    drainUnheard();  // the open watch says nothing from here on, new ones speak
+    drainWithoutNotification();  // the open watch delivers nothing more; new watches get the list
     EXPECT_TRUE(appliesListWithin(kPropagationLimit));
     expectNothingReachesTheDecodeEngine();
     node.reset();
@@ -76,33 +78,33 @@
   }
 }
 
-TEST_F(WatchEndingsTest, SilentAfterThirteenSecondsOfActivity) {
-  speak();
+TEST_F(WatchEndingsTest, AppliesDrainWhenWatchFallsSilentAfterThirteenSeconds) {
+  serveEngineLists();
   startNode();
   ASSERT_TRUE(appliesListWithin(1));
-  emptyLines(discovery);
+  sendEmptyLinesPeriodically(discovery);
   advance(13);
-  EXPECT_EQ(discovery.requests.size(), 1U);  // it is alive: no second one is needed
+  EXPECT_EQ(discovery.requests.size(), 1U);  // the watch is alive, so no second one is opened
   silent = true;
-  drainUnheard();
+  drainWithoutNotification();
   advance(0.1);
   silent = false;
-  for (const auto& peer : discovery.peers) peer->received = "silent";  // of those that are open
+  for (const auto& peer : discovery.peers) peer->received = "silent";  // stops their empty lines
   EXPECT_TRUE(appliesListWithin(kPropagationLimit));
   expectNothingReachesTheDecodeEngine();
 }
 
-TEST_F(WatchEndingsTest, ResetSecondsBeforeADrain) {
+TEST_F(WatchEndingsTest, AppliesDrainAtOnceWhenWatchBrokeTwoSecondsBefore) {
   for (const bool reset : {false, true}) {
-    drains = false;
-    speak();
+    draining = false;
+    serveEngineLists();
     startNode();
     ASSERT_TRUE(appliesListWithin(1));
     breakWatches(reset);
     advance(2);
     ++index;
-    drains = true;
-    ASSERT_NE(openWatch(), nullptr);  // it has been opened anew by now, and delivers the change at once
+    draining = true;
+    ASSERT_NE(openWatch(), nullptr);  // the watch was reopened within 2 s
     openWatch()->send(chunkOf(list()));
     EXPECT_TRUE(appliesListWithin(0));
     expectNothingReachesTheDecodeEngine();
@@ -111,71 +113,71 @@
   }
 }
 
-TEST_F(WatchEndingsTest, SilentAsAReloadMovesIt) {
-  speak();
+TEST_F(WatchEndingsTest, AppliesDrainWhenFirstWatchAtReloadedAddressIsSilent) {
+  serveEngineLists();
   startNode();
   ASSERT_TRUE(appliesListWithin(1));
   int watchesSeen = 0;
-  ScriptedServer other(loop, [&](Peer& peer, const http1::Request&) {
-    if (++watchesSeen > 1) peer.send(kStreamHead + chunkOf(list()));  // its first watch never delivers
+  ScriptedServer newDiscovery(loop, [&](Peer& peer, const http1::Request&) {
+    if (++watchesSeen > 1) peer.send(kStreamHead + chunkOf(list()));  // the first watch is never answered
   });
-  Json fresh = configurationJson();
-  fresh["discovery"] = other.address();
+  Json newConfiguration = configurationJson();
+  newConfiguration["discovery"] = newDiscovery.address();
   silent = true;
-  drainUnheard();
-  node->reload(configurationOf(fresh));
+  drainWithoutNotification();
+  node->reload(configurationOf(newConfiguration));
   EXPECT_TRUE(appliesListWithin(kPropagationLimitAfterReload));
   expectNothingReachesTheDecodeEngine();
   node.reset();
 }
 
-TEST_F(WatchEndingsTest, TheOldAddressClosesAsAReloadMovesIt) {
-  speak();
+TEST_F(WatchEndingsTest, AppliesDrainWhenOldWatchClosesDuringReload) {
+  serveEngineLists();
   startNode();
   ASSERT_TRUE(appliesListWithin(1));
-  ScriptedServer other(loop,
-                       [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
-  other.listener.rejectConnections(true);
-  Json fresh = configurationJson();
-  fresh["discovery"] = other.address();
-  node->reload(configurationOf(fresh));
+  ScriptedServer newDiscovery(
+      loop, [&](Peer& peer, const http1::Request&) { peer.send(kStreamHead + chunkOf(list())); });
+  newDiscovery.listener.rejectConnections(true);
+  Json newConfiguration = configurationJson();
+  newConfiguration["discovery"] = newDiscovery.address();
+  node->reload(configurationOf(newConfiguration));
   breakWatches(true);
-  drainUnheard();
+  drainWithoutNotification();
   advance(1);
-  other.listener.rejectConnections(false);
+  newDiscovery.listener.rejectConnections(false);
   EXPECT_TRUE(appliesListWithin(kPropagationLimitAfterReload));
   expectNothingReachesTheDecodeEngine();
   node.reset();
 }
 
-TEST_F(WatchEndingsTest, BackWithDrainsAtOnceHoweverLongItWasAway) {
-  for (const double away : {0.3, 4.0, 9.0}) {
-    drains = silent = false;
-    speak();
+TEST_F(WatchEndingsTest, AppliesDrainAfterDiscoveryWasUnreachable) {
+  for (const double unreachableSeconds : {0.3, 4.0, 9.0}) {
+    draining = silent = false;
+    serveEngineLists();
     startNode();
     ASSERT_TRUE(appliesListWithin(1));
     silent = true;
     breakWatches(true);
     discovery.listener.rejectConnections(true);
-    drainUnheard();
-    advance(away);
+    drainWithoutNotification();
+    advance(unreachableSeconds);
     discovery.listener.rejectConnections(false);
     silent = false;
-    EXPECT_TRUE(appliesListWithin(kPropagationLimit)) << away;
+    EXPECT_TRUE(appliesListWithin(kPropagationLimit)) << unreachableSeconds;
     expectNothingReachesTheDecodeEngine();
     node.reset();
     runUntilIdle();
   }
 }
 
-TEST_F(WatchEndingsTest, BackInSilenceThenWithDrains) {
-  speak();
+TEST_F(WatchEndingsTest, AppliesDrainWhenDiscoveryAcceptsWatchesButStaysSilent) {
+  serveEngineLists();
   startNode();
   ASSERT_TRUE(appliesListWithin(1));
   silent = true;
   breakWatches(true);
-  advance(8);  // connections are taken, and nothing is said on them
-  drainUnheard();
+  advance(8);  // discovery accepts connections but sends nothing
+  drainWithoutNotification();
   silent = false;
   EXPECT_TRUE(appliesListWithin(kPropagationLimit));
   expectNothingReachesTheDecodeEngine();
