--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -55,7 +55,7 @@
   injectFault(FaultyCall::kWatch, ENOMEM, 3);
   std::string got;
   EXPECT_TRUE(
-      happensWithin(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
+      becomesTrueWithin(2, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(rule(FaultyCall::kWatch).failed, 3U);
 }
@@ -143,7 +143,7 @@
     EXPECT_GT(rule(fault.call).failed, 0U);
     clearFaults();
     std::string got;
-    happensWithin(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
+    becomesTrueWithin(1, [&] { return (got += client.receive()).find("0\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(got.substr(0, 12), "HTTP/1.1 200") << fault.error;
   }
   EXPECT_EQ(attemptCount(prefillEngine), std::size(kFaults));
@@ -183,7 +183,7 @@
     advance(0.5);
     EXPECT_EQ(lateClient.receive().substr(0, 12), "HTTP/1.1 503") << error;
     lateClient.close();
-    EXPECT_TRUE(happensWithin(2, [&] { return server.busyCount() == 0; })) << error;
+    EXPECT_TRUE(becomesTrueWithin(2, [&] { return server.busyCount() == 0; })) << error;
     clearFaults();
   }
 }
