--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -28,7 +28,7 @@
             << service.tokens << ", TTFT of served requests p50 " << quantile(first, 0.5) << " s, p99 "
             << quantile(first, 0.99) << " s, longest gap between tokens p50 " << quantile(gaps, 0.5)
             << " s, p99 " << quantile(gaps, 0.99) << " s, maximum " << quantile(gaps, 1)
-            << " s (fake engines)\n";
+            << " s (simulated servers)\n";
   for (std::size_t i = 0; i < scenario.classes.size(); ++i) {
     std::cerr << "  class " << scenario.classes[i].name << ": " << service.inTimeByClass[i] << " of "
               << service.requestsByClass[i] << " in time\n";
--- a/src/instance/instance_settings.cpp
+++ b/src/instance/instance_settings.cpp
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-// Reads the fields in a fixed order, so that the same field is reported if several are malformed.
+// Reads the fields in a fixed order, so that if several are malformed, the error always names the same one.
 Settings readSettings(const Json& options, std::uint64_t seed, InstanceNames& names) {
   const Json& family = objectOrEmpty(options, "familyInfo");
   const Json& limits = objectOrEmpty(options, "limits");
--- a/src/instance/instance_settings.h
+++ b/src/instance/instance_settings.h
@@ -13,13 +13,13 @@
 
 namespace gannetcourse::instance {
 
-/// The names in the settings of one router instance. The decision module refers to them by their indices in
-/// these lists.
+/// The names in the settings of one router instance. The decision module refers to each name by its
+/// index in the list.
 struct InstanceNames {
   std::vector<std::string> classes, tenants, zones;
   std::vector<std::string> engineKinds;
   std::vector<std::string> kindRoles;        ///< Role of each engine kind, by index in engineKinds.
-  std::vector<double> kindMemoryTokens;      ///< Memory of each engine kind, in tokens, by index.
+  std::vector<double> kindMemoryTokens;      ///< Memory of each engine kind, in tokens, by the same index.
   std::vector<double> interTokenObjectives;  ///< Inter-token objective of each class, in seconds.
 
   /// The index of a zone. All unknown zones have the same index, one past the last known zone.
@@ -28,7 +28,7 @@
   void describeEngine(EngineEntry& engine, const std::string& kind, const std::string& zone) const;
 };
 
-/// The index of `name` in `names`, or nothing if it is missing.
+/// The index of `name` in `names`, or nothing if `names` does not contain it.
 std::optional<std::size_t> indexOf(const std::vector<std::string>& names, const std::string& name);
 
 /// Parses the settings object and fills in `names`. `seed` is the seed of the decision module's random
--- a/src/platform/chat_request.cpp
+++ b/src/platform/chat_request.cpp
@@ -110,7 +110,7 @@
 }
 
 // The client's header fields as header lines for the request to the engine. Unknown fields are forwarded too,
-// because engines use API keys and trace ids of any name. Fields listed in the Connection field are
+// because the fields for API keys and trace ids may have any name. Fields listed in the Connection field are
 // hop-by-hop and are not forwarded.
 std::string forwardedFields(const http1::Fields& fields) {
   const std::string& connectionOptions = valueOf(fields, "Connection");
--- a/src/platform/chat_request.h
+++ b/src/platform/chat_request.h
@@ -17,8 +17,8 @@
   std::string reason;
 };
 
-/// Parses the header fields and the body of a request. The caller has to set the result's `key`. On success,
-/// the body and the target are moved out of `request`.
+/// Parses the header fields and the body of a request. `key` of the result is left to be set by the caller.
+/// On success, the body and the target are moved out of `request`.
 std::variant<router::NewRequest, RequestError> parseChatRequest(http1::Request& request,
                                                                 const instance::InstanceNames& names);
 
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -69,8 +69,8 @@
   return configuration;
 }
 
-// Whether an error of open() is temporary (a lack of descriptors or memory, or an interruption) and says
-// nothing about the file.
+// Whether an error of open() is temporary: a lack of descriptors or memory, or an interruption. It does not
+// mean that the file is missing or unreadable.
 bool isTransientOpenError(int error) {
   return error == EMFILE || error == ENFILE || error == ENOMEM || error == EINTR || error == EAGAIN;
 }
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -16,13 +16,13 @@
 struct Configuration {
   std::string name;
   net::Endpoint listenEndpoint, discoveryEndpoint;
-  std::uint64_t memoryLimitMb = 192;  ///< In MiB; at least 16.
+  std::uint64_t memoryLimitMb = 192;  ///< In MiB; lower values are raised to 16.
   std::size_t socketLimit = 1024;     ///< File descriptors that the process may have open; at least 64.
   Settings policySettings;
   instance::InstanceNames names;
   Duration engineIdleTimeout{15};       ///< Engines close a connection that was idle for this long.
   Duration engineConnectTimeout{0.25};  ///< Limit for establishing a connection to an engine.
-  instance::Json knownEngineList;       ///< The engine list to start with, maybe outdated; null = none.
+  instance::Json knownEngineList;       ///< Used until discovery sends a list; may be outdated; null = none.
 };
 
 /// The configuration file cannot be read or is invalid. what() is one line with the file, the field and what
@@ -48,9 +48,10 @@
 /// Limits on the node's connections, open requests and buffers.
 struct NodeLimits {
   std::size_t maxClientConnections = 0;
-  std::size_t maxEngineConnections = 0;  ///< Above maxOpenRequests, for idle connections and releases.
+  /// Greater than maxOpenRequests, because idle connections and releases need connections too.
+  std::size_t maxEngineConnections = 0;
   std::size_t maxOpenRequests = 0;
-  std::uint64_t maxBufferedBytes = 0;  ///< Of request bodies and headers, including incomplete requests.
+  std::uint64_t maxBufferedBytes = 0;  ///< For request bodies and headers, including incomplete requests.
 };
 
 /// Derives the node's limits from the descriptors and the memory that the process may use.
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -9,13 +9,14 @@
 namespace gannetcourse::platform {
 namespace {
 
-// Discovery sends an empty line every 2 s as a keep-alive, and the node must receive a change within 6 s
-// after discovery learned of it. If a stream is silent for kSilenceLimit, a replacement is opened; it is
-// reopened every kReplacementTimeout until one of the two streams delivers.
+// If the active stream is silent for kSilenceLimit, a replacement stream is opened. If the replacement
+// delivers nothing within kReplacementTimeout, it is reopened. kSilenceLimit is longer than the 2 s between
+// the empty lines that discovery sends as a keep-alive. Together the limits are shorter than the 6 s within
+// which the node must receive a change after discovery learned of it.
 const Duration kSilenceLimit{2.8}, kReplacementTimeout{2.5}, kLivenessInterval{0.2};
 
 // Backoff before a stream that ended or was rejected is reopened. It doubles up to kMaxBackoff, and is set to
-// kResetBackoff once a stream is active for longer than kStableStreamAge.
+// kResetBackoff once a stream delivers more than kStableStreamAge after it was opened.
 const Duration kInitialBackoff{0.1}, kResetBackoff{0.2}, kMaxBackoff{0.5}, kStableStreamAge{2};
 
 http1::ClientOptions watchOptions() {
@@ -118,8 +119,8 @@
   });
 }
 
-// Opens a stream. It is the active one if there is none, otherwise the replacement; an earlier replacement is
-// closed.
+// Opens a stream. The new stream becomes the active one if there is no active stream, otherwise the
+// replacement. An earlier replacement is closed.
 void DiscoveryWatch::openStream() {
   loop_.cancelTimer(std::exchange(reopenTimer_, 0));
   if (replacement_) replacement_->close();
@@ -133,8 +134,8 @@
       endpoint_, [head = std::move(head)] { return head; }, nullptr, stream));
 }
 
-// Keeps the stream that delivered and closes the other one, which has been silent for longer. Exception:
-// while the active stream is being replaced on purpose, its deliveries do not close the replacement.
+// Keeps the stream that has delivered data and closes the other one. Exception: while the active stream is
+// being replaced on purpose (replacingActive_), data on it does not close the replacement.
 void DiscoveryWatch::onActivity(Stream& stream) {
   stream.recordActivity(loop_.now());
   if (log_ && silenceLogged_) {
--- a/src/platform/discovery_watch.h
+++ b/src/platform/discovery_watch.h
@@ -35,8 +35,8 @@
   void setResumeIndex(std::uint64_t index) { resumeIndex_ = index; }
   /// Opens the watch at another endpoint. The old stream is used until the new one delivers.
   void changeEndpoint(const net::Endpoint& endpoint);
-  /// Requests a snapshot because a received object could not be used: opens a new stream from index 0 after a
-  /// short backoff.
+  /// Requests a snapshot, for when a received object could not be used: after a delay of at most 0.5 s, opens
+  /// a new stream from index 0, which discovery answers with a snapshot.
   void requestSnapshot();
 
   std::uint64_t watchesOpened() const { return watchesOpened_; }        ///< Streams opened so far.
--- a/src/platform/engine_attempt.cpp
+++ b/src/platform/engine_attempt.cpp
@@ -5,8 +5,8 @@
 namespace gannetcourse::platform {
 namespace {
 
-// A stream that receives no bytes for this long is treated as broken: its client must not wait longer than
-// 5 s after the last event.
+// A stream that receives no bytes for this long is treated as broken, because its client must not wait longer
+// than 5 s after the last event.
 const Duration kSilenceLimit{4};
 const Duration kEventTimeout{2};         // limit from an event's first byte to its last
 const Duration kEndTimeout{2};           // limit for the end of the stream after the [DONE] event
@@ -63,7 +63,7 @@
 
 void EngineAttempt::onBody(std::string_view bytes) {
   recordActivity();
-  const std::shared_ptr<EngineAttempt> self = shared_from_this();  // an event may cancel this attempt
+  const std::shared_ptr<EngineAttempt> self = shared_from_this();  // onEvent() may cancel and release it
   if (ended_) return;
   const bool readable =
       response_.onBody(bytes, lastActivityAt_, [this](std::string event) { deliverEvent(std::move(event)); });
@@ -102,8 +102,8 @@
   finish(response_.resultOf(outcome, reason, recovery::AttemptEnd::kAbandoned));
 }
 
-// Ends the attempt after kStatusBodyTimeout unless the body is complete before. The connection can be reused
-// only after the complete body was read.
+// Waits up to kStatusBodyTimeout for the rest of the body, because the connection can be reused only after
+// the complete body was read. Then ends the attempt, unless the complete body has already ended it.
 void EngineAttempt::endAfterStatusBody() {
   loop_.runAfter(kStatusBodyTimeout, [weak = weak_from_this()] {
     const std::shared_ptr<EngineAttempt> self = weak.lock();
--- a/src/platform/engine_attempt.h
+++ b/src/platform/engine_attempt.h
@@ -14,7 +14,8 @@
 namespace gannetcourse::platform {
 
 /// Reports the attempt's events and its single result to its owner; reports nothing after the attempt has
-/// ended. Must be created with make_shared, because the HTTP client shares it while the call is open.
+/// ended. Must be created with make_shared, because the HTTP client keeps a shared pointer to it while
+/// the call is open.
 class EngineAttempt final : public http1::ResponseHandler,
                             public std::enable_shared_from_this<EngineAttempt> {
  public:
@@ -41,12 +42,12 @@
   void cancel();
   /// Stops all reports to the owner without cancelling the call. For the owner's destructor.
   void detach() { ended_ = true; }
-  /// Pauses or resumes reading, for flow control when the client reads too slowly. Time limits of the engine
-  /// restart at each call.
+  /// Pauses or resumes reading, for flow control when the client reads too slowly. The time limits
+  /// for stalled streams restart each time, because the engine does not cause the pause.
   void pause(bool paused);
 
-  /// Whether the stream is stalled without an error: the engine sent nothing for too long, or an event is
-  /// incomplete for too long.
+  /// Whether the stream is stalled: after its first event, the engine has sent nothing for too long, or an
+  /// event has been incomplete for too long. Always false while reading is paused.
   bool isStalled(Instant now) const;
   /// Cancels the call of a stalled attempt and reports the result.
   void abandonStalled(Instant now);
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -13,11 +13,12 @@
 
 constexpr int kStatusOk = 200;
 const Duration kSweepInterval{0.5};
-// The record of a removed engine is kept this long, for its open streams and for releases.
+// The record of a removed engine is kept this long, because the engine's process may still serve streams and
+// accept releases.
 const Duration kRemovedEngineRetention{30};
 
-// Returns a function that builds the request head when the connection is established. X-Budget-Ms is thus the
-// time left when the request is sent, not when the call was started: connecting may take long.
+// Returns a function that builds the request head when the connection is established. X-Budget-Ms must be the
+// time left when the request is sent, and connecting may take long.
 http1::Client::HeadMaker attemptHead(net::Loop& loop, const net::Endpoint& to, const std::string& id,
                                      Duration timeout,
                                      const std::shared_ptr<const router::RequestPayload>& payload) {
@@ -79,8 +80,9 @@
   client_.restoreEndpoint(engine.address);
 }
 
-// Cancels calls to a draining or removed engine that were started but not yet sent. `addressReused`: a
-// serving engine has the same address, so its calls and connections must be kept.
+// Cancels calls to a draining or removed engine that were started but not yet sent. Closes the connections to
+// a removed engine as soon as they are idle. Does neither if `addressReused`: a serving engine has the same
+// address, and its calls and connections must be kept.
 void EngineClient::stopUsing(EngineRecord& engine, bool addressReused) {
   if (!engine.unsentCallsCancelled) {
     engine.unsentCallsCancelled = true;
--- a/src/platform/engine_client.h
+++ b/src/platform/engine_client.h
@@ -1,5 +1,5 @@
 // The engine client for the platform's HTTP protocol: executes the core's commands for engines and reports
-// the result of each. Makes no routing decisions and does not retry attempts.
+// their results. Makes no routing decisions and does not retry attempts.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 namespace gannetcourse::platform {
 
 /// Owns the engine table, the pool of connections to engines, the open attempts and the release dispatcher.
-/// Not thread-safe; everything runs on the loop. `handler` must outlive it.
+/// Not thread-safe; everything runs on the loop. `handler` must outlive the client.
 class EngineClient final : public engines::EngineTransport, private EngineAttempt::Owner {
  public:
   EngineClient(net::Loop& loop, const http1::ClientOptions& options, engines::EngineEventHandler& handler);
@@ -41,10 +41,10 @@
   void cancelCall(router::CallKey call) override;
   void reserve(const router::ReserveCapacity& reservation) override;
   void releaseState(const router::ReleaseState& release) override;
-  /// Does nothing: the protocol has no fencing. Streams are not continued at another engine, so none is
-  /// needed.
+  /// Does nothing, because the protocol has no fences. They are not needed: a stream is never continued at
+  /// another engine.
   void fenceAttempt(const router::FenceAttempt&) override {}
-  /// The protocol has no probes: reports each as not sent.
+  /// Reports the probe as not sent, because the protocol has no probes.
   void probe(EngineId engine) override;
   void pauseStream(router::CallKey call, bool paused) override;
   std::size_t auxiliaryCalls() const override { return releases_.releasesBlockingShutdown(); }
@@ -64,7 +64,7 @@
   struct AttemptStart {
     router::CallKey call = 0;
     EngineId engine;
-    const std::string& id;  ///< Of the request.
+    const std::string& id;  ///< The request's id.
     Duration timeout{0};
     const std::shared_ptr<const router::RequestPayload>& payload;
     AttemptKind kind;
@@ -89,7 +89,7 @@
   engines::EngineEventHandler& handler_;
   EngineTable engines_;
   ReleaseDispatcher releases_;
-  std::unordered_map<router::CallKey, std::shared_ptr<EngineAttempt>> attempts_;  // the open ones
+  std::unordered_map<router::CallKey, std::shared_ptr<EngineAttempt>> attempts_;  // open attempts
   net::TimerId sweepTimer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false after destruction; for late callbacks
 };
--- a/src/platform/engine_list_message.cpp
+++ b/src/platform/engine_list_message.cpp
@@ -7,7 +7,8 @@
 
 using instance::Json;
 
-// If discovery sends only lists with lower indices for this long, it has restarted and counts from the start.
+// If all messages of discovery have lower indices than the list in use for this long, discovery has restarted
+// and counts from the start.
 const Duration kStaleLimit{2};
 
 EngineEntry::State stateOf(const std::string& status) {
@@ -16,7 +17,8 @@
   return EngineEntry::State::kServing;
 }
 
-// Parses the fields that an engine needs before it can get work: address, kind, zone, cell and start time.
+// Parses the fields that must be valid before an engine is sent requests: address, kind, zone, cell and start
+// time.
 // Throws instance::MalformedInput.
 void parseDescription(EngineListMessageEntry& engine, const Json& object,
                       const instance::InstanceNames& names, const net::WallClock& clock) {
@@ -28,9 +30,9 @@
   engine.entry.startedAt = clock.instant(startedAtMs);
 }
 
-// Parses one entry. Returns nothing if it is not an object, or if it is for a serving engine without an
-// address. A drain or removal is accepted even if its description is malformed, because otherwise the node
-// would go on sending requests to the engine. Throws instance::MalformedInput.
+// Parses one entry. Returns nothing if the entry is not an object, or if it is for a serving engine without
+// an address. A drain or removal is accepted even if the engine's description is malformed, because otherwise
+// the node would go on sending requests to the engine. Throws instance::MalformedInput.
 std::optional<EngineListMessageEntry> parseEntry(const Json& object, const instance::InstanceNames& names,
                                                  const net::WallClock& clock) {
   if (!object.is_object()) return std::nullopt;
@@ -57,7 +59,7 @@
 }
 
 // FNV-1a, 32 bits. The preferred engines of sessions are derived from these ids, so all versions of the node
-// must compute the same ones; another hash would move every session to another engine.
+// must compute the same ids; another hash would move every session to another engine.
 EngineId engineIdOf(const std::string& name) {
   constexpr std::uint32_t kOffsetBasis = 2166136261U;
   constexpr std::uint32_t kPrime = 16777619U;
@@ -77,7 +79,7 @@
     for (const Json& entry : instance::arrayOrEmpty(object, "endpoints")) {
       try {
         if (auto engine = parseEntry(entry, names, clock)) message.engines.push_back(std::move(*engine));
-      } catch (const instance::MalformedInput&) {  // a malformed entry must not hide the others
+      } catch (const instance::MalformedInput&) {  // skip this entry only; the others are still used
       }
     }
   } catch (const instance::MalformedInput&) {
--- a/src/platform/engine_list_message.h
+++ b/src/platform/engine_list_message.h
@@ -31,18 +31,19 @@
   EngineListUpdate toUpdate() const;
 };
 
-/// The decision module's id of an engine, a hash of its name: the same on every node.
+/// The decision module's id of an engine: a hash of the engine's name, and thus the same on every node.
 EngineId engineIdOf(const std::string& name);
 
-/// Parses one JSON object of the watch. Ignores unknown fields, takes unknown statuses as "up", and skips
-/// entries without a name and serving engines without a valid address. Returns nothing if the object is
-/// malformed.
+/// Parses one JSON object received on the discovery watch. Ignores unknown fields and takes unknown statuses
+/// as "up". Skips malformed entries, entries without a name and serving engines without a valid address.
+/// Returns nothing if the object itself is malformed.
 std::optional<EngineListMessage> parseEngineListMessage(const instance::Json& object,
                                                         const instance::InstanceNames& names,
                                                         const net::WallClock& clock);
 
-/// Tells messages that are as new as the list in use from older ones. A restarted discovery may count
-/// versions from the start again, so an older snapshot is accepted if only older lists were received for 2 s.
+/// Detects discovery messages that are older than the engine list in use, that is, have a lower index, and
+/// must not be applied. Exception: an older snapshot is applied once all messages received for 2 s were
+/// older. Discovery has then restarted and counts the versions of the list from the start again.
 class EngineListVersion {
  public:
   enum class Decision {
@@ -58,7 +59,7 @@
 
  private:
   std::uint64_t latestIndex_ = 0;
-  std::optional<Instant> staleSince_;  // when the first of the consecutive older lists was received
+  std::optional<Instant> staleSince_;  // receipt of the first older message after the latest applied one
 };
 
 }  // namespace gannetcourse::platform
--- a/src/platform/engine_response.h
+++ b/src/platform/engine_response.h
@@ -49,11 +49,11 @@
   bool streamIsComplete() const { return events_.isComplete(); }
   /// When the first byte of the current incomplete event was received; empty if no event is incomplete.
   std::optional<Instant> partialEventSince() const { return partialEventSince_; }
-  /// Restarts the time measurement of an incomplete event, after reading was paused.
+  /// Sets partialEventSince() to `now` if an event is incomplete. Called when reading is paused or resumed.
   void restartPartialEvent(Instant now);
 
-  /// The result of a response without a stream: the status determines it. For a prefill, the body states the
-  /// cached tokens.
+  /// The result of a response that is not a stream, as determined by the status. The cached tokens of a
+  /// successful prefill are taken from the body.
   AttemptResult resultOfStatus() const;
   /// The result of a stream whose body has ended. A last event without the terminating empty line is passed
   /// to `onEvent`.
@@ -70,7 +70,8 @@
   AttemptKind kind_;
   int status_ = 0;  // 0 = no response head received
   bool isStream_ = false, notExecuted_ = false;
-  std::string body_;  // of a response that is not a stream; no more is stored once it has 4 KiB
+  // Body of a response that is not a stream. Once 4 KiB are stored, further bytes are ignored.
+  std::string body_;
   EventStreamDecoder events_;
   std::optional<Instant> partialEventSince_;
   std::optional<LoadReport> headLoadReport_;
--- a/src/platform/engine_table.h
+++ b/src/platform/engine_table.h
@@ -1,4 +1,4 @@
-// The engines that this node knows from the engine list, with their state as seen by the engine client. Only
+// The table of the engines that this node knows from the engine list, including recently removed ones. Only
 // EngineClient changes the table; ReleaseDispatcher reads it.
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace gannetcourse::platform {
 
-/// The state of one engine.
+/// What the engine client stores about one engine.
 struct EngineRecord {
   net::Endpoint address;
-  Instant lastActivityAt{};  ///< When data was last received from it; the epoch = never.
+  Instant lastActivityAt{};  ///< When data was last received from the engine; the epoch = never.
   bool removed = false;      ///< No longer on the engine list; its process may still run.
   bool draining = false;
-  /// Whether its unsent calls were cancelled after it started to drain or was removed.
+  /// Whether unsent calls to the engine were cancelled after its drain started or it was removed.
   bool unsentCallsCancelled = false;
-  Instant removedAt{};  ///< When it was removed from the list; the epoch = it is listed.
+  Instant removedAt{};  ///< When the engine was removed from the list; the epoch = it is listed.
 
   bool isServing() const { return !removed && !draining; }
 };
--- a/src/platform/event_stream.h
+++ b/src/platform/event_stream.h
@@ -10,8 +10,8 @@
 
 namespace gannetcourse::platform {
 
-/// Splits a response body into events and passes them on byte for byte, without their comment lines. Comments
-/// are meant for this node and may contain a load report.
+/// Splits a response body into events and passes them on byte for byte, without their comment lines. Comment
+/// lines are meant for the node, not for its clients, and may contain a load report.
 class EventStreamDecoder {
  public:
   using EventHandler = std::function<void(std::string event)>;
@@ -21,16 +21,16 @@
   bool feed(std::string_view bytes, const EventHandler& onEvent);
 
   /// Must be called at the end of the body. Delivers a last event that lacks only its terminating empty line.
-  /// Returns false if the stream is incomplete, that is, the [DONE] event is missing, or the rest is
-  /// malformed.
+  /// Returns false if the [DONE] event is missing or the last event is malformed.
   bool finish(const EventHandler& onEvent);
 
-  /// Whether part of an event was received.
+  /// Whether an event was received in part but is not yet complete.
   bool hasPartialEvent() const { return !partialEvent_.empty(); }
   /// Whether the last event, [DONE], was received.
   bool isComplete() const { return complete_; }
 
-  double cachedTokens() const { return cachedTokens_; }  ///< Prompt tokens in the cache; 0 = not stated.
+  /// Prompt tokens found in the engine's prefix cache; 0 = not stated.
+  double cachedTokens() const { return cachedTokens_; }
   double generatedTokens() const { return generatedTokens_; }  ///< As counted by the engine; 0 = not stated.
   const std::optional<LoadReport>& loadReport() const { return loadReport_; }  ///< The latest one received.
 
--- a/src/platform/frontend.cpp
+++ b/src/platform/frontend.cpp
@@ -33,7 +33,7 @@
   const NodeLimits limits = limitsOf(configuration);
   http1::ServerOptions options;
   options.maxConnections = limits.maxClientConnections;
-  options.maxBufferedRequestBytes = limits.maxBufferedBytes / 2;  // the rest is for requests at the core
+  options.maxBufferedRequestBytes = limits.maxBufferedBytes / 2;  // requests at the core need memory too
   return options;
 }
 
--- a/src/platform/frontend.h
+++ b/src/platform/frontend.h
@@ -15,7 +15,7 @@
 namespace gannetcourse::platform {
 
 /// Owns the listener, the client connections and the ids of open requests. Not thread-safe: all calls must be
-/// made on the loop's thread. `driver` must outlive it.
+/// made on the loop's thread. `driver` must outlive the frontend.
 class Frontend {
  public:
   /// Starts listening. Throws std::system_error if that fails.
@@ -35,8 +35,8 @@
 
   std::uint16_t port() const { return server_.port(); }
   const http1::Server& server() const { return server_; }
-  /// Number of requests that the frontend itself answered with an error: malformed ones, and those that
-  /// exceeded its limits.
+  /// Number of requests that the frontend itself answered with an error: they were malformed, had an unknown
+  /// path, a wrong method or the id of an open request, or exceeded the node's limits.
   std::uint64_t rejectedMalformed() const { return rejectedMalformed_; }
 
  private:
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -18,11 +18,11 @@
 const Duration kMinDrainDuration{1.2};
 const Duration kStatisticsInterval{10};
 const Duration kResponseMargin{0.01};
-// The engine list in the configuration may be outdated, and the node must follow the changes that discovery
-// already knows of. It becomes ready after the first list of discovery, or after this time without one.
+// A node with engines in its configuration becomes ready after the first list from discovery, or after this
+// time without one. It waits because the list in the configuration may be outdated.
 const Duration kDiscoveryWait{0.3};
-// The same for a node without engines in its configuration. After this time it becomes ready all the same,
-// and rejects requests with a Retry-After.
+// As kDiscoveryWait, for a node without engines in its configuration. After this time the node becomes ready
+// without engines, and rejects requests with a Retry-After.
 const Duration kDiscoveryWaitWithoutEngines{5};
 
 http1::ClientOptions engineConnectionOptions(const Configuration& configuration) {
@@ -91,7 +91,7 @@
   return hooks;
 }
 
-// Logs invariant violations with their request when records are not written.
+// Logs the record if it is an invariant violation. Used if no records are written.
 void Node::logViolation(const router::Record& record) {
   if (record.kind != router::RecordKind::kInvariantViolation) return;
   log_("router", "error", "violation: " + record.reason + " by request " + record.request);
@@ -133,7 +133,8 @@
   watch_->requestSnapshot();
 }
 
-// Applies the engine list of the configuration, or an empty one: the core needs a first list.
+// Applies the engine list of the configuration, or an empty list if it has none or an invalid one. The core
+// needs a list at its start.
 void Node::applyKnownEngineList() {
   const Json& known = configuration_.knownEngineList;
   auto message =
@@ -188,8 +189,8 @@
   frontend_.drain();
 }
 
-// Runs after each run of the core's timer. Closes the listener once no work is pending, and ends the drain in
-// a later run, after connections that were accepted in between have been served.
+// Called after each run of the core's timer. Closes the listener once no work is pending. Ends the drain in a
+// later run, because connections that were accepted before the listener closed must be served first.
 void Node::checkDrained() {
   if (!onDrained_ || loop_.now() - drainStartedAt_ < kMinDrainDuration) return;
   const bool pending = core().pendingObligations() > 0 || engineClient_.auxiliaryCalls() > 0 ||
--- a/src/platform/release_dispatcher.cpp
+++ b/src/platform/release_dispatcher.cpp
@@ -15,10 +15,12 @@
 const Duration kMaxStepInterval{0.1};
 constexpr double kStepShareOfLease = 0.1;
 const Duration kCallTimeout{0.4};
-// An engine with a call that is unanswered for this long is called only after all others.
+// An engine with a call that is unanswered for longer than this is called after the other listed engines. A
+// release whose last call is older than this is also sent to the next engine that answers.
 const Duration kSilenceLimit{0.05};
 constexpr std::size_t kMaxFanOut = 8;
-// Limit for unanswered calls. The other half of the calls is for the first engine that answers.
+// Limit for unanswered calls to all engines together. The other half of kMaxCallsInFlight is left for calls
+// to engines that have answered.
 constexpr std::size_t kMaxUnanswered = ReleaseDispatcher::kMaxCallsInFlight / 2;
 constexpr std::size_t kMinUnansweredPerEngine = 2;
 const Duration kShutdownWait{3};        // a shutdown does not wait for older releases
@@ -129,8 +131,8 @@
     const bool shareUsed = hasUnanswered && calls->second.count >= maxUnansweredPerEngine();
     if (shareUsed || release.enginesCalled.count(id) > 0 || alreadyCalled.count(id) > 0) continue;
     const bool silent = hasUnanswered && loop_.now() - calls->second.since > kSilenceLimit;
-    // Only an engine that was active can have an idle connection. Checking that first saves time with many
-    // engines.
+    // Only an engine that was active can have an idle connection. The activity is checked first because the
+    // search for an idle connection takes longer, which matters with many engines.
     const bool idle = engine.lastActivityAt != Instant{} && client_.hasIdleConnection(engine.address);
     const std::tuple rank(!engine.removed, !silent, idle, engine.lastActivityAt);
     if (best && rank <= bestRank) continue;
@@ -219,7 +221,8 @@
   sendPendingTo(call.engine);
 }
 
-// Sends the engine, which has just answered, each release whose last call is unanswered for kSilenceLimit.
+// Called when `engine` has answered. Sends to it each pending release whose last call was sent more than
+// kSilenceLimit ago.
 void ReleaseDispatcher::sendPendingTo(EngineId engine) {
   if (engines_.count(engine) == 0) return;
   const std::set<const PendingRelease*> alreadyCalled = releasesWithOpenCallTo(engine);
--- a/src/platform/release_dispatcher.h
+++ b/src/platform/release_dispatcher.h
@@ -1,6 +1,6 @@
 // Sends releases of the states and reservations that engines hold for a request. Any engine accepts a release
-// on behalf of all, so a release is sent to one engine after the other, and to more engines per step over
-// time, until one confirms it. The core decides when a release is sent.
+// on behalf of all engines. A release is therefore sent to one engine after the other until an engine
+// confirms it; the number of engines called in each step grows. The core decides when a release is started.
 #pragma once
 
 #include <cstdint>
@@ -25,38 +25,39 @@
 class ReleaseDispatcher {
  public:
   struct Counters {
-    std::uint64_t started = 0;    ///< Calls of startRelease(), including repeats for a pending release.
+    std::uint64_t started = 0;    ///< How often startRelease() was called, also for pending releases.
     std::uint64_t confirmed = 0;  ///< Releases that an engine has confirmed.
     std::uint64_t abandoned = 0;  ///< Releases without a confirmation after 30 s, or dropped at kMaxPending.
     std::uint64_t calls = 0;      ///< HTTP calls started.
-    Duration slowestConfirmation{0};  ///< From the first request for a release until its confirmation.
+    Duration slowestConfirmation{0};  ///< Longest time from the start of a release to its confirmation.
   };
   using Log = std::function<void(const std::string& level, const std::string& text)>;
 
   static constexpr std::size_t kMaxPending = 4096;  ///< At this limit the oldest release is abandoned.
   static constexpr std::size_t kMaxCallsInFlight = 64;
 
-  /// `engines` may change between calls of this class and must outlive it. `onEngineResponse` is called with
-  /// each engine that answers successfully.
+  /// `engines` must outlive the dispatcher; the table's contents may change. `onEngineResponse` is called for
+  /// each successful response to a release, with the id of the engine.
   ReleaseDispatcher(net::Loop& loop, http1::Client& client, const EngineTable& engines,
                     std::function<void(EngineId)> onEngineResponse);
   ~ReleaseDispatcher();
   ReleaseDispatcher(const ReleaseDispatcher&) = delete;
   ReleaseDispatcher& operator=(const ReleaseDispatcher&) = delete;
 
-  /// Sets how long an engine keeps an unused state; 0 = no limit. The steps of a release are short
-  /// enough to call several engines before the state expires.
+  /// Sets how long an engine keeps an unused state; 0 = no limit. The interval between the steps of a release
+  /// is a tenth of this limit, and at most 0.1 s, so that several engines are called before the state
+  /// expires.
   void setStateLeaseLimit(Duration limit);
   /// Sets the log for slow and abandoned releases; may be null.
   void setLog(Log log) { log_ = std::move(log); }
 
-  /// Releases all states and reservations of the request `id`. If its release is already pending, it
-  /// restarts, and only calls that are sent from now on can confirm it.
+  /// Releases all states and reservations of the request `id`. If the request's release is already pending,
+  /// the release restarts, and only calls that are sent from now on can confirm it.
   void startRelease(const std::string& id);
 
   std::size_t pending() const { return pending_.size(); }
-  /// Number of pending releases that a shutdown must wait for: those started in the last 3 s. For older ones,
-  /// no engine is expected to answer.
+  /// Number of pending releases that a shutdown must wait for: those started in the last 3 s. Older
+  /// releases are not waited for, because no engine is expected to answer them any more.
   std::size_t releasesBlockingShutdown() const;
   const Counters& counters() const { return counters_; }
 
@@ -64,8 +65,8 @@
   struct PendingRelease {
     std::string id;
     Instant startedAt, lastCallAt;
-    Instant requestedAt;               // last startRelease(); earlier calls may not cover all states
-    std::set<EngineId> enginesCalled;  // in the current round
+    Instant requestedAt;               // last startRelease(); calls sent before may not cover all states
+    std::set<EngineId> enginesCalled;  // in the current round, which ends when all were called
     std::size_t fanOut = 1;            // number of engines that the next step calls
     bool done = false;
   };
@@ -94,8 +95,8 @@
   void logFinished(const PendingRelease& release, ReleaseResult result, Duration elapsed) const;
   std::optional<EngineId> selectEngine(const PendingRelease& release) const;
   bool allEnginesCalled(const PendingRelease& release) const;
-  // Whether a successful response to the call confirms its release: the call was not sent before
-  // the last startRelease().
+  // Whether a successful response to the call confirms the release. A call that was sent before the last
+  // startRelease() does not, because it may not cover all states.
   static bool confirmsRelease(const Call& call) { return call.sentAt >= call.release->requestedAt; }
   std::set<EngineId> enginesWithOpenCall(const PendingRelease& release) const;
   std::set<const PendingRelease*> releasesWithOpenCallTo(EngineId engine) const;
--- a/wirehost/event_decoder.cpp
+++ b/wirehost/event_decoder.cpp
@@ -42,7 +42,7 @@
   if (status == "SERVING") return EngineEntry::State::kServing;
   if (status == "DRAINING") return EngineEntry::State::kDraining;
   if (status == "DELETED") return EngineEntry::State::kRemoved;
-  throw MalformedInput("unknown status '" + status + "'");
+  throw MalformedInput("unknown status '" + status + "'; expected SERVING, DRAINING or DELETED");
 }
 
 EngineEntry decodeEntry(const Json& object, const InstanceNames& names) {
@@ -64,7 +64,9 @@
       {"SAVED", EngineListUpdate::Scope::kCached},
       {"FAILED", EngineListUpdate::Scope::kFetchFailed}};
   const auto scope = kScopes.find(requireString(fields, "scope"));
-  if (scope == kScopes.end()) throw MalformedInput("unknown scope '" + requireString(fields, "scope") + "'");
+  if (scope == kScopes.end())
+    throw MalformedInput("unknown scope '" + requireString(fields, "scope") +
+                         "'; expected INCREMENTAL, FULL, SAVED or FAILED");
   EngineListUpdate update;
   update.scope = scope->second;
   for (const Json& entry : arrayOrEmpty(fields, "lines")) update.entries.push_back(decodeEntry(entry, names));
--- a/wirehost/wire.h
+++ b/wirehost/wire.h
@@ -8,7 +8,7 @@
 namespace gannetcourse::wire {
 
 /// Processes batches from `in` until its end and returns the exit code, 0 on success. On malformed input, it
-/// writes one line to `err`, nothing of the incomplete batch to `out`, and returns 1.
+/// writes one line to `err` and returns 1; nothing of the incomplete batch is written to `out`.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace gannetcourse::wire
