--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -9,10 +9,12 @@
 namespace gannetcourse::config {
 
 /// Returns `updated` with its classes, tenants and zones at stable indices: accepted requests refer to their
-/// class and tenant by index and are finished under it. A class equal to one of `running`, and a tenant or
-/// zone of the same name, keeps its index; others are appended; classes and tenants that `updated` lacks are
-/// kept with inService = false. Reloading an earlier file thus restores the earlier indices. Each reload with
-/// a changed class adds an index until the node restarts.
+/// class and tenant by index and are finished under these.
+/// Classes, tenants and zones that are also in `running` keep their indices: classes match if their names and
+/// policy settings are equal, tenants and zones if their names are. Others are appended. Classes and tenants
+/// that are only in `running` are kept with inService = false. Reloading an earlier file thus restores the
+/// earlier indices. A changed class takes a new index, unless an earlier class with the same settings has
+/// one; unused indices are removed only by a restart.
 NodeSettings mergeForReload(const NodeSettings& running, NodeSettings updated);
 
 /// The index of the class or tenant of this name; std::nullopt if there is none in service.
--- a/src/discovery/engine_list.h
+++ b/src/discovery/engine_list.h
@@ -36,7 +36,7 @@
   /// `now` and `unixMsNow` are the same moment on both clocks.
   EntryResolver(std::vector<std::string> zones, Instant now, std::int64_t unixMsNow);
 
-  /// For a reload. Existing zones must keep their indices; new ones follow them.
+  /// Replaces the zones after a reload. Existing zones must keep their indices; new zones are appended.
   void setZones(std::vector<std::string> zones) { zones_ = std::move(zones); }
 
   /// Index of the zone. All unknown zones share the index after the last known one.
@@ -55,7 +55,7 @@
 class EngineListState {
  public:
   void apply(const EngineList& list);
-  /// By ascending id, without removed ones.
+  /// The current engines by ascending id, without removed engines.
   const std::vector<Engine>& engines() const { return engines_; }
 
  private:
--- a/src/discovery/engine_list_cache.h
+++ b/src/discovery/engine_list_cache.h
@@ -16,7 +16,7 @@
   EngineListCache(const EngineListCache&) = delete;
   EngineListCache& operator=(const EngineListCache&) = delete;
 
-  /// Writes `text` in the background, instead of an earlier one that is not written yet.
+  /// Writes `text` in the background. Replaces an earlier text whose write has not started.
   void save(std::string text);
   /// Number of writes that have failed.
   std::uint64_t failures() const;
--- a/src/discovery/registry_watch.cpp
+++ b/src/discovery/registry_watch.cpp
@@ -43,7 +43,7 @@
   if (address) {
     engine.address = *address;
   } else {
-    // An engine without a valid address cannot be used.
+    // An engine without a valid address cannot be used and is treated as removed.
     engine.entry.state = EngineEntry::State::kRemoved;
   }
   resolver.resolve(engine);
--- a/src/discovery/registry_watch.h
+++ b/src/discovery/registry_watch.h
@@ -16,14 +16,15 @@
   /// Receives each update. Scope kFetchFailed means that the watch could not be opened or has ended.
   using UpdateHandler = std::function<void(EngineList list)>;
 
-  /// `node` is this node's name for the registry. The loop and the resolver must outlive the watch.
+  /// `node` is the name of this node, which is sent to the registry. The loop and the resolver must outlive
+  /// the watch.
   RegistryWatch(net::Loop& loop, const net::Endpoint& registry, std::string node,
                 const EntryResolver& resolver, const grpc::ChannelOptions& options, UpdateHandler onUpdate);
   ~RegistryWatch();
   RegistryWatch(const RegistryWatch&) = delete;
   RegistryWatch& operator=(const RegistryWatch&) = delete;
 
-  /// Opens a watch; an open one is cancelled first, without an update.
+  /// Opens a watch. Cancels an open watch first, without reporting an update for it.
   void subscribe();
 
  private:
--- a/src/engines/call_outcome.h
+++ b/src/engines/call_outcome.h
@@ -7,12 +7,12 @@
 
 namespace gannetcourse::engines {
 
-/// Maps how a call ended to its outcome. Calls that certainly did not run (kConnectFailed, kRejected) have
-/// other outcomes than those that may have run.
+/// Maps how a call ended to its outcome. kConnectFailed and kRejected mean that the call certainly did not
+/// run; a call that may have run gets another outcome.
 Outcome outcomeOf(const grpc::CallEnd& end);
 
-/// kAbandoned if the engine may still be running the call. kConfirmed if it ended the call (by a status, a
-/// reset or closing the connection) or did not start it.
+/// Returns kAbandoned if the engine may still be running the call. Returns kConfirmed if the engine ended the
+/// call (by a status, a reset or closing the connection) or did not start it.
 recovery::AttemptEnd attemptEndOf(const grpc::CallEnd& end);
 
 }  // namespace gannetcourse::engines
--- a/src/engines/engine_transport.h
+++ b/src/engines/engine_transport.h
@@ -17,7 +17,7 @@
   virtual void onPrefillEnded(router::CallKey call, std::string stateHandle, double cachedTokens,
                               std::optional<LoadReport> load) = 0;
   virtual void onToken(router::CallKey call, std::uint32_t index, std::string text) = 0;
-  /// `reason` is written to the records; empty for kOk.
+  /// `reason` is a text for the decision records; empty for kOk.
   virtual void onCallEnded(router::CallKey call, Outcome outcome, double cachedTokens,
                            std::optional<LoadReport> load, const std::string& reason,
                            recovery::AttemptEnd attemptEnd) = 0;
@@ -35,7 +35,7 @@
   virtual ~EngineTransport() = default;
   virtual void start(const router::StartPrefill& prefill) = 0;
   virtual void start(const router::StartDecode& decode) = 0;
-  /// Cancels the call. No further events of it are reported.
+  /// Cancels the call. No further events of the call are reported.
   virtual void cancelCall(router::CallKey call) = 0;
   virtual void reserve(const router::ReserveCapacity& reservation) = 0;
   virtual void releaseState(const router::ReleaseState& release) = 0;
@@ -43,7 +43,7 @@
   virtual void probe(EngineId engine) = 0;
   /// Stops or resumes reading the stream of a call, for a client that does not read its response.
   virtual void pauseStream(router::CallKey call, bool paused) = 0;
-  /// Number of releases, fences, probes and reservations in progress. A drain waits for them.
+  /// Number of releases, fences, probes and reservations in progress. A drain completes when it is 0.
   virtual std::size_t auxiliaryCalls() const = 0;
 };
 
--- a/src/engines/grpc_engine_transport.cpp
+++ b/src/engines/grpc_engine_transport.cpp
@@ -11,7 +11,7 @@
 const Duration kAuxiliaryCallTimeout{1};  // for reservations, fences and probes
 const Duration kReleaseTimeout{0.5};      // for each attempt of a release
 const Duration kReleaseRetryDelay{0.1};
-const Duration kReleaseRetryLimit{5};  // a release that has not succeeded by then is abandoned
+const Duration kReleaseRetryLimit{5};  // a release is not sent again after this time
 constexpr std::size_t kMaxReleasesAwaitingRetry = 4096;
 
 constexpr const char* kNoAddress = "engine has no address";
@@ -43,7 +43,7 @@
   return std::string(grpc::nameOf(status.code)) + ": " + status.message;
 }
 
-// Probes are cancelled only when they time out.
+// A cancelled probe has timed out: probes are cancelled for no other reason.
 Outcome probeOutcomeOf(const grpc::CallEnd& end) {
   const Outcome outcome = outcomeOf(end);
   return outcome == Outcome::kCancelled ? Outcome::kTimeout : outcome;
@@ -87,7 +87,7 @@
   engine.channel->onGoaway = [this, id] { handler_.onGoAway(id); };
 }
 
-// A removed engine is kept until its last connection has closed.
+// Closes the idle connections of removed engines. Erases a removed engine if it has no connection any more.
 void GrpcEngineTransport::closeRemovedEngines() {
   for (auto& [id, engine] : engines_) {
     if (engine.removed && engine.channel) engine.channel->closeIdle();
@@ -104,8 +104,8 @@
   }
 }
 
-// Ends the channel's calls with an error. The channel may be in use further up the call stack, so it is
-// destroyed in the next iteration of the loop.
+// Ends the channel's calls with an error and destroys the channel, both in the next iteration of the loop:
+// the channel may be in use further up the call stack.
 void GrpcEngineTransport::retireChannel(Engine& engine) {
   if (!engine.channel) return;
   const std::shared_ptr<grpc::Channel> retired = std::move(engine.channel);
@@ -224,7 +224,7 @@
 void GrpcEngineTransport::pauseStream(router::CallKey key, bool paused) {
   const auto it = calls_.find(key);
   if (it == calls_.end()) return;
-  const std::shared_ptr<grpc::ClientCall> call = it->second.call;  // pause() may erase it from calls_
+  const std::shared_ptr<grpc::ClientCall> call = it->second.call;  // pause() may invalidate `it`
   call->pause(paused);
 }
 
@@ -281,7 +281,8 @@
 }
 
 void GrpcEngineTransport::retryRelease(const std::shared_ptr<const PendingRelease>& release) {
-  // The states of a removed engine ended with the connection to it; there is nothing to release.
+  // For an engine that is no longer known, no release is sent: its last connection has closed, and its states
+  // ended with it.
   if (engines_.count(release->engine) == 0) return;
   if (releasesAwaitingRetry_ >= kMaxReleasesAwaitingRetry || loop_.now() >= release->giveUpAt) return;
   ++releasesAwaitingRetry_;
--- a/src/engines/grpc_engine_transport.h
+++ b/src/engines/grpc_engine_transport.h
@@ -20,16 +20,16 @@
 /// Owns the connections to all engines and the calls on them. Not thread-safe: runs on the loop's thread.
 class GrpcEngineTransport final : public EngineTransport {
  public:
-  /// `nodeName` identifies this node to the engines; `lease` is how long they continue a stream without
-  /// receiving anything from this node. The loop and the handler must outlive the transport.
+  /// `nodeName` identifies this node to the engines; `lease` is how long an engine continues a stream
+  /// without receiving anything from this node. The loop and the handler must outlive the transport.
   GrpcEngineTransport(net::Loop& loop, std::string nodeName, Duration lease,
                       const grpc::ChannelOptions& options, EngineEventHandler& handler);
   ~GrpcEngineTransport() override;
   GrpcEngineTransport(const GrpcEngineTransport&) = delete;
   GrpcEngineTransport& operator=(const GrpcEngineTransport&) = delete;
 
-  /// Applies an update of the engine list: creates channels for new addresses, and closes the connections of
-  /// removed engines once they have no calls.
+  /// Applies an update of the engine list: creates channels for new addresses and closes the connections of
+  /// removed engines that have no calls. A connection that still has calls is closed at a later update.
   void updateEngines(const discovery::EngineList& list);
 
   void start(const router::StartPrefill& prefill) override;
@@ -62,7 +62,8 @@
     net::TimerId timeout = 0;
   };
   using AuxiliaryCallEnd = std::function<void(const grpc::CallEnd&, const std::string& reply)>;
-  // Repeated until the engine confirms it, because the engine keeps the state until then.
+  // The release of a prefilled state. Sent again until the engine confirms it or giveUpAt is reached, because
+  // an unreleased state occupies the engine's memory.
   struct PendingRelease {
     EngineId engine;
     std::string message;
--- a/src/frontend/chat_service.h
+++ b/src/frontend/chat_service.h
@@ -6,7 +6,7 @@
 
 namespace gannetcourse::frontend {
 
-/// Registers gannetcourse.v1.Chat on the server. Both arguments must outlive the last call.
+/// Registers gannetcourse.v1.Chat on the server. The server and the router must outlive the last Chat call.
 void registerChatService(grpc::Server& server, RouterHandle& router);
 
 }  // namespace gannetcourse::frontend
--- a/src/frontend/chat_stream.cpp
+++ b/src/frontend/chat_stream.cpp
@@ -41,7 +41,8 @@
   message_.clear_resume();
   const std::size_t waitingBytes = call_->send(messageBytes_);
   if (waitingBytes < router_.settings().streamBufferBytes) return;
-  // Repeated for each further token, because after a continuation the new engine's stream is not paused.
+  // Called again for each token above the limit: if the request is continued at another engine, the new
+  // engine's stream starts unpaused.
   paused_ = true;
   router_.pauseRequest(key_, true);
 }
@@ -51,7 +52,8 @@
   call_->onDrained = nullptr;
   call_->finish(toGrpcStatus(response), toTrailers(response));
   if (call_->pendingBytes() == 0) return;
-  // Most responses have been sent by the end of this iteration of the loop; only the others need a timer.
+  // Deferred because most responses have been sent by the end of this iteration of the loop and need no
+  // timer.
   router_.loop().defer(
       [&loop = router_.loop(), call = std::weak_ptr(call_)] { abandonAfterLinger(loop, call); });
 }
--- a/src/frontend/chat_stream.h
+++ b/src/frontend/chat_stream.h
@@ -11,7 +11,8 @@
 
 namespace gannetcourse::frontend {
 
-/// Pauses the request when the pending output reaches NodeSettings::streamBufferBytes, until all is sent.
+/// Pauses the request when the pending output reaches NodeSettings::streamBufferBytes, and resumes it when no
+/// output is pending.
 class ChatStream final : public ClientStream {
  public:
   /// `resumePoint` is made by makeResumePoint(). The router must outlive the stream.
@@ -22,7 +23,7 @@
   void sendToken(const router::SendToken& token) override;
   void sendFinalResponse(const router::FinalResponse& response) override;
 
-  /// Called when no output is pending any more: resumes a paused request.
+  /// Resumes a paused request. Must be called when no output is pending any more.
   void onDrained();
 
  private:
@@ -32,7 +33,7 @@
   v1::ResumePoint resumePoint_;  // the content of the next resume token
   v1::GenerateToken message_;    // reused for each token
   std::string messageBytes_;     // reused for each token
-  std::string resumeToken_;      // to be sent with the next token; empty = none
+  std::string resumeToken_;      // sent with the next token; empty = none
   bool paused_ = false;
 };
 
--- a/src/frontend/client_stream.h
+++ b/src/frontend/client_stream.h
@@ -14,7 +14,7 @@
   /// resume tokens.
   virtual void sendResumePoint(const router::ResumePoint&) {}
   virtual void sendToken(const router::SendToken& token) = 0;
-  /// Called at most once; nothing is sent after it.
+  /// Ends the response. Called at most once, after all other functions.
   virtual void sendFinalResponse(const router::FinalResponse& response) = 0;
 };
 
--- a/src/frontend/health_service.cpp
+++ b/src/frontend/health_service.cpp
@@ -20,7 +20,7 @@
   return responseOf(serving ? HealthCheckResponse::SERVING : HealthCheckResponse::NOT_SERVING);
 }
 
-// The empty name means the whole node.
+// Whether the health of the service is known. The empty name means the whole node.
 bool isKnownService(const std::string& service) {
   return service.empty() || service == "gannetcourse.v1.Chat";
 }
@@ -49,7 +49,8 @@
   HealthCheckRequest request;
   request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
   if (!isKnownService(request.service())) {
-    // The health protocol keeps such a watch open, because the service might be registered later.
+    // The health protocol requires that the watch of an unknown service stays open, because the service might
+    // be registered later.
     call->send(responseOf(HealthCheckResponse::SERVICE_UNKNOWN));
     return;
   }
--- a/src/frontend/health_service.h
+++ b/src/frontend/health_service.h
@@ -10,12 +10,14 @@
 
 namespace gannetcourse::frontend {
 
-/// Implements Check and Watch of grpc.health.v1.Health. The server and the router must outlive its last call.
+/// Implements Check and Watch of grpc.health.v1.Health. The server and the router must outlive the last
+/// health call.
 class HealthService {
  public:
   HealthService(grpc::Server& server, RouterHandle& router);
 
-  /// Must be called when RouterHandle::isServing() may have changed; notifies the watches if it has.
+  /// Must be called when RouterHandle::isServing() may have changed. Notifies the watches if the value is
+  /// new.
   void onServingMayHaveChanged();
   /// Ends all watches, for the node's shutdown.
   void endWatches();
--- a/src/frontend/request_validator.cpp
+++ b/src/frontend/request_validator.cpp
@@ -44,7 +44,7 @@
   return checkResume(request);
 }
 
-// A node without tenants accepts requests that name none.
+// A request must name a tenant in service. If no tenant is in service, it must name none.
 std::optional<grpc::Status> RequestValidator::checkTenant(router::NewRequest& request) const {
   const std::vector<TenantSettings>& tenants = settings_.policy.tenants;
   const bool anyTenant =
--- a/src/frontend/request_validator.h
+++ b/src/frontend/request_validator.h
@@ -14,13 +14,14 @@
 
 namespace gannetcourse::frontend {
 
-/// Hashes the name of a session or prefix to its key, the same on all nodes; 0 for the empty name.
+/// Hashes the name of a session or prefix to its key; 0 for the empty name. All nodes compute the same key.
 std::uint64_t hashKey(const std::string& name);
 
 /// Returns an INVALID_ARGUMENT status. The message must begin with the name of the invalid field.
 grpc::Status invalidArgument(std::string message);
 
-/// Checks one message. Keeps references to its arguments, which must outlive it.
+/// Checks one message. The constructor's arguments must outlive the validator, which keeps references to
+/// them.
 class RequestValidator {
  public:
   RequestValidator(const config::NodeSettings& settings, const resume::Sealer& sealer,
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -25,7 +25,7 @@
 
 void Channel::closeAll() {
   failQueued("channel closed");
-  // Iterates by index: fail() calls onEnd handlers, and these may open further connections.
+  // Iterates by index, because the onEnd handlers that fail() calls may add connections to the vector.
   for (std::size_t i = 0; i < connections_.size(); ++i) {
     if (!connections_[i]->ended) connections_[i]->session.fail("channel closed");
   }
--- a/src/grpc/channel.h
+++ b/src/grpc/channel.h
@@ -21,14 +21,15 @@
 struct ChannelOptions {
   http2::Limits http2;
   std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Largest accepted response message.
-  std::size_t maxQueued = 10000;                  ///< Limit of calls waiting for a stream; more fail.
-  std::size_t maxConnections = 4;  ///< Another one is opened when the others accept no more streams.
+  std::size_t maxQueued = 10000;                  ///< Calls that may wait for a stream; further calls fail.
+  std::size_t maxConnections = 4;                 ///< One is added when the open ones accept no more streams.
   Duration connectTimeout{0.25};
-  /// Delay after a failed connect, doubled at each further failure up to maxBackoff. Calls fail meanwhile.
+  /// Delay after a failed connect, doubled at each further failure up to maxBackoff. During the
+  /// delay a call fails if no open connection has a free stream.
   Duration initialBackoff{0.05};
   Duration maxBackoff{1};
   Duration keepaliveInterval{5};  ///< Interval of PINGs on connections with calls in flight; 0 = none.
-  Duration keepaliveTimeout{2};   ///< The connection fails if a PING is not acknowledged within it.
+  Duration keepaliveTimeout{2};   ///< A connection fails if a PING is not acknowledged in time.
   std::string userAgent = "gannetcourse";
 };
 
@@ -41,8 +42,8 @@
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  /// Starts a call. The caller must set its handlers before it returns to the loop. `timeout` is only sent to
-  /// the server; the caller has to enforce it.
+  /// Starts a call. The caller must set the call's handlers before returning to the loop. `timeout` is only
+  /// sent to the server; the caller has to enforce it.
   std::shared_ptr<ClientCall> start(const std::string& method, std::string_view message,
                                     std::optional<Duration> timeout = {},
                                     const http2::Headers& metadata = {});
@@ -55,7 +56,7 @@
   void closeAll();
   /// Called when the server shuts down gracefully (GOAWAY) and accepts no new calls.
   std::function<void()> onGoaway;
-  /// Called for a frame on a stream that has already ended without an error; used by audits.
+  /// Called for a frame on a stream that had already ended without an error. Used by test audits.
   std::function<void(http2::StreamId)> onStrayFrame;
 
  private:
--- a/src/grpc/channel_connection.cpp
+++ b/src/grpc/channel_connection.cpp
@@ -40,7 +40,7 @@
   call->connection_ = nullptr;
   channel.onStreamFreed();
   if (call->remoteClosed_) {
-    call->deliverMessages();  // the status follows the last message, for a paused call after it resumes
+    call->deliverMessages();  // ends the call after its last message; a paused call ends after it resumes
   } else {
     call->end(endOfClosedStream(code));
   }
--- a/src/grpc/channel_connection.h
+++ b/src/grpc/channel_connection.h
@@ -13,8 +13,8 @@
 
 namespace gannetcourse::grpc {
 
-/// Dispatches the session's events to its calls and its channel. Owned by the channel, which destroys it in a
-/// deferred task after it has closed.
+/// Dispatches the session's events to its calls and its channel. Owned by the channel, which destroys the
+/// object in a deferred task after the connection has closed.
 struct ChannelConnection final : http2::SessionOwner {
   ChannelConnection(Channel& owner, std::uint64_t connectionId, net::Loop& loop, const http2::Limits& limits)
       : channel(owner), id(connectionId), session(loop, http2::Session::Side::kClient, *this, limits) {}
--- a/src/grpc/client_call.cpp
+++ b/src/grpc/client_call.cpp
@@ -66,9 +66,9 @@
   end(endFromHeaders(responseHeaders_, trailers_));
 }
 
-// Returns received bytes to the stream's flow-control window. A paused call retains the bytes that it has not
-// delivered. Otherwise even those of an incomplete message are returned, because the window could be used up
-// before the rest of the message arrives.
+// Returns received bytes to the stream's flow-control window. For a paused call, undelivered bytes are not
+// returned. For other calls, the bytes of an incomplete message are returned too: otherwise a message larger
+// than the window could never arrive in full.
 void ClientCall::updateWindow() {
   if (connection_ == nullptr) return;
   const std::size_t buffered = std::min(reader_->bufferedBytes(), unacknowledgedBytes_);
@@ -99,7 +99,7 @@
 void ClientCall::end(const CallEnd& end) {
   if (std::exchange(over_, true)) return;
   const auto keepAlive = shared_from_this();
-  if (!delivering_) onMessage = nullptr;  // while delivering, it may be on the call stack
+  if (!delivering_) onMessage = nullptr;  // while messages are delivered, onMessage may be on the call stack
   if (const auto notify = std::exchange(onEnd, nullptr)) notify(end);
 }
 
--- a/src/grpc/client_call.h
+++ b/src/grpc/client_call.h
@@ -30,7 +30,7 @@
   Status status;
   http2::Headers trailers;
 
-  /// An end with a status that this side sets, and no trailers.
+  /// Returns an end whose status is set by this side, without trailers.
   static CallEnd local(Kind kind, Code code, std::string message);
 };
 
@@ -39,15 +39,16 @@
 /// A call started by Channel::start(). Shared by its caller and the channel. Use only on the loop's thread.
 class ClientCall : public std::enable_shared_from_this<ClientCall> {
  public:
-  /// Called for each message of the response; not after onEnd.
+  /// Called for each message of the response; never called after onEnd.
   std::function<void(std::string_view message)> onMessage;
   /// Called exactly once, also after cancel().
   std::function<void(const CallEnd& end)> onEnd;
 
-  /// Resets the stream; the RST_STREAM is sent before anything that is submitted later. Calls onEnd before it
-  /// returns.
+  /// Resets the stream and calls onEnd before returning. The RST_STREAM is sent before anything that is
+  /// submitted to the connection later.
   void cancel();
-  /// While paused no message is delivered, and the server can send at most the stream's window.
+  /// Pauses or resumes the call. A paused call delivers no messages, and the server can send at most the
+  /// bytes of the stream's flow-control window.
   void pause(bool paused);
   bool isOver() const { return over_; }
 
--- a/src/grpc/protocol.cpp
+++ b/src/grpc/protocol.cpp
@@ -13,7 +13,7 @@
     "ABORTED",   "OUT_OF_RANGE",   "UNIMPLEMENTED",     "INTERNAL",           "UNAVAILABLE",
     "DATA_LOSS", "UNAUTHENTICATED"};
 
-// Returned bytes that may stay at the front of the buffer before the rest is moved there.
+// Limit of the bytes at the front of the buffer that were already returned. Above it they are erased.
 constexpr std::size_t kMaxReturnedBytes = 64 * 1024;
 
 int hexDigit(char c) {
--- a/src/grpc/protocol.h
+++ b/src/grpc/protocol.h
@@ -69,7 +69,8 @@
   explicit MessageReader(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
 
   void add(std::string_view bytes) { buffer_.append(bytes); }
-  /// Returns the next complete message, if any; valid until the next add() or next(). Nothing after a fault.
+  /// Returns the next complete message, if any; valid until the next add() or next(). Returns nothing once
+  /// fault() is not kNone.
   std::optional<std::string_view> next();
   Fault fault() const { return fault_; }
   bool isInsideMessage() const { return offset_ < buffer_.size(); }
--- a/src/grpc/server.cpp
+++ b/src/grpc/server.cpp
@@ -22,7 +22,7 @@
   if (connections_.size() >= options_.maxConnections) listener_.pause(true);
 }
 
-// Deferred because a function of the connection may be on the call stack.
+// The removal is deferred because a function of the connection may be on the call stack.
 void Server::scheduleRemoval(ServerConnection* connection) {
   if (onConnectionClosed) onConnectionClosed(*connection);
   loop_.defer([this, connection, alive = alive_] {
--- a/src/grpc/server.h
+++ b/src/grpc/server.h
@@ -19,7 +19,7 @@
 struct ServerOptions {
   http2::Limits http2;
   std::size_t maxMessageBytes = 4 * 1024 * 1024;  ///< Largest accepted request message.
-  std::size_t maxConnections = 20000;             ///< Further ones wait in the kernel's accept queue.
+  std::size_t maxConnections = 20000;             ///< Further connections wait in the kernel's accept queue.
 };
 
 /// Handles a complete request; responds through `call`, at once or later.
@@ -42,22 +42,23 @@
   /// Graceful shutdown: accepts no new connections and sends GOAWAY; calls in progress continue.
   void drain();
   std::size_t connectionCount() const { return connections_.size(); }
-  std::size_t callCount() const;  ///< In progress.
+  std::size_t callCount() const;  ///< Number of calls in progress.
 
   // ---- Fault injection for fake engines ----
   /// Suspends or resumes the connections of all peers, or of those for which `appliesTo` is true. A suspended
-  /// connection neither sends nor handles requests, like one to a machine that does not respond.
+  /// connection sends nothing and handles no requests, like a connection to a machine that does not respond.
   void suspend(bool suspended, const std::function<bool(const std::string& peer)>& appliesTo = {});
   /// Reads the bytes that have arrived so far on all connections, including suspended ones.
   void readAllNow();
   /// Closes all connections with a TCP RST.
   void abortAll();
-  /// Rejects new connections, like a machine on which the process does not run, but keeps the port.
+  /// Rejects new connections, as if the process did not run, but keeps the port reserved.
   void rejectConnections(bool rejected);
   /// Called at a connection's first request; returns whether to suspend the connection from then on.
   std::function<bool(const std::string& peer)> isSuspendedFor;
   std::function<void(const ServerConnection&)> onConnectionClosed;
-  /// Called for a complete request on a suspended connection; its handler runs when the connection resumes.
+  /// Called for a complete request on a suspended connection. The handler of the request's method is called
+  /// when the connection resumes.
   std::function<void(const std::shared_ptr<ServerCall>& call, std::string_view request)>
       onRequestWhileSuspended;
 
--- a/src/grpc/server_call.h
+++ b/src/grpc/server_call.h
@@ -15,17 +15,18 @@
 
 class ServerConnection;
 
-/// A call in progress. Its handler may keep a reference; after the call has ended its functions do nothing.
+/// A call in progress. Its handler may keep a reference; after the call has ended, send(), finish() and
+/// reset() do nothing.
 class ServerCall : public std::enable_shared_from_this<ServerCall> {
  public:
   const std::string& method() const { return method_; }  ///< "/package.Service/Method".
   const http2::Headers& metadata() const { return metadata_; }
-  std::optional<Duration> timeout() const { return timeout_; }  ///< The grpc-timeout, from receivedAt() on.
+  std::optional<Duration> timeout() const { return timeout_; }  ///< The grpc-timeout; starts at receivedAt().
   Instant receivedAt() const { return receivedAt_; }            ///< When the request's headers arrived.
   const std::string& peer() const;                              ///< The connection's user-agent.
   std::uint64_t connectionId() const;                           ///< 0 once the stream has closed.
-  Instant lastReceivedAt() const;  ///< When its connection last received anything.
-  bool isSuspended() const;        ///< By Server::suspend(); output is queued meanwhile.
+  Instant lastReceivedAt() const;  ///< When the call's connection last received anything.
+  bool isSuspended() const;        ///< Suspended by Server::suspend(); output is queued.
   bool isOpen() const { return connection_ != nullptr && !finished_; }
 
   /// Sends a message. Returns pendingBytes(), including this message.
@@ -36,7 +37,7 @@
   void reset(std::uint32_t http2Code);
   /// Resets the stream and discards its pending output, also after finish().
   void abandon();
-  /// Bytes of output not passed to the connection yet; they accumulate while the client does not read.
+  /// Bytes of output not passed to the connection yet. The number grows while the client does not read.
   std::size_t pendingBytes() const;
 
   /// Called once if the client cancels or the connection is lost before finish() is called.
--- a/src/grpc/server_connection.cpp
+++ b/src/grpc/server_connection.cpp
@@ -158,7 +158,7 @@
 void ServerConnection::onOutputTaken(http2::StreamId stream) {
   ServerCall* const call = find(stream);
   if (call == nullptr || !call->onDrained) return;
-  // Deferred because the handler may send, which the session does not allow inside its callbacks.
+  // Deferred because onDrained may send a message, which the session does not allow inside its callbacks.
   server_.loop_.defer([call = call->shared_from_this()] {
     if (call->isOpen() && call->onDrained) call->onDrained();
   });
--- a/src/grpc/server_connection.h
+++ b/src/grpc/server_connection.h
@@ -16,7 +16,8 @@
 
 namespace gannetcourse::grpc {
 
-/// Owns its session and calls. Owned by its Server, which destroys it in a deferred task after it has closed.
+/// Owns its session and calls. Owned by its Server, which destroys the object in a deferred task after the
+/// connection has closed.
 class ServerConnection final : private http2::SessionOwner {
  public:
   /// Takes over the accepted socket.
@@ -24,7 +25,7 @@
   ~ServerConnection() override;
   std::uint64_t id() const { return id_; }                 ///< Unique within the server, from 1.
   const std::string& peer() const { return peer_; }        ///< User-agent of the first request.
-  std::size_t callCount() const { return calls_.size(); }  ///< In progress.
+  std::size_t callCount() const { return calls_.size(); }  ///< Number of calls in progress.
 
  private:
   friend class Server;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -125,8 +125,8 @@
   if (error != EAGAIN) fail(std::string("read: ") + std::strerror(error));
 }
 
-// Continues reading after `delay`: after the read budget was used up, so that a fast peer does not starve
-// other connections, or after a shortage of memory. A timer is needed because edge-triggered epoll does not
+// Continues reading once `delay` has passed. Used when the read budget is exhausted (a fast peer must not
+// starve other connections) and when memory is short. A timer is needed because edge-triggered epoll does not
 // report the remaining input again.
 void Connection::scheduleRead(Duration delay) {
   if (readTimer_ != 0) return;
--- a/src/node/core_driver.cpp
+++ b/src/node/core_driver.cpp
@@ -23,7 +23,7 @@
   stopped_ = true;
   loop_.cancelTimer(std::exchange(timer_, 0));
   hooks_ = {};
-  clients_.clear();  // the frontends that they refer to are destroyed next
+  clients_.clear();  // client streams refer to the frontends, which are destroyed next
 }
 
 // ---- From clients ----
@@ -83,7 +83,7 @@
 }
 
 // ---- Commands ----
-// Returns shared ownership, because a call on the stream may remove it from clients_.
+// Returns shared ownership, because a function called on the stream may remove the stream from clients_.
 std::shared_ptr<frontend::ClientStream> CoreDriver::findClient(router::RequestKey request) const {
   const auto it = clients_.find(request);
   return it == clients_.end() ? nullptr : it->second;
@@ -111,7 +111,7 @@
                  [this](const router::Subscribe&) {
                    if (hooks_.subscribe) hooks_.subscribe();
                  },
-                 [](const router::Fetch&) {},  // not needed: a subscription starts with the whole list
+                 [](const router::Fetch&) {},  // ignored: each subscription starts with the whole list
                  [this](const router::Record& c) {
                    if (hooks_.onRecord) hooks_.onRecord(c);
                  },
@@ -119,7 +119,8 @@
              command);
 }
 
-// A command may call back into the driver; the outermost call executes all commands, in order.
+// Executes all commands in order. A command may call back into the driver; such a nested runCommands()
+// returns at once, and the outermost one executes the commands that were added.
 void CoreDriver::runCommands() {
   if (runningCommands_) return;
   runningCommands_ = true;
--- a/src/node/core_driver.h
+++ b/src/node/core_driver.h
@@ -17,12 +17,12 @@
 /// Owns the core and the client streams of its open requests. All calls are made on the loop's thread.
 class CoreDriver : public engines::EngineEventHandler {
  public:
-  /// Called on the loop's thread. Any of them may be empty.
+  /// Callbacks, called on the loop's thread; each may be empty.
   struct Hooks {
-    std::function<void(const router::Record&)> onRecord;  ///< For each decision; must not block.
+    std::function<void(const router::Record&)> onRecord;  ///< Called for each decision; must not block.
     std::function<void()> subscribe;                      ///< Opens a subscription to the engine list.
     std::function<void(EngineId)> onEngineGoAway;         ///< An engine has announced its shutdown.
-    std::function<void()> onTimerHandled;                 ///< After the commands of a timer are executed.
+    std::function<void()> onTimerHandled;                 ///< Called after a timer's commands were executed.
   };
 
   CoreDriver(net::Loop& loop, const Settings& settings, router::Options options, Hooks hooks);
@@ -30,9 +30,9 @@
   CoreDriver(const CoreDriver&) = delete;
   CoreDriver& operator=(const CoreDriver&) = delete;
 
-  /// Must be called first. The transport must outlive the last call before stop().
+  /// Must be called before all other functions. `engines` must remain valid until stop() is called.
   void attach(engines::EngineTransport& engines) { engines_ = &engines; }
-  /// After this no event is passed to the core and no command is executed.
+  /// Ends the driver's work: from then on it passes no events to the core and executes no commands.
   void stop();
 
   const router::Core& core() const { return core_; }
@@ -77,7 +77,7 @@
   router::Core core_;
   engines::EngineTransport* engines_ = nullptr;
   std::unordered_map<router::RequestKey, std::shared_ptr<frontend::ClientStream>> clients_;
-  std::vector<router::Command> commands_;  // those being executed
+  std::vector<router::Command> commands_;  // the commands that runCommands() is executing
   router::RequestKey lastRequestKey_ = 0;
   net::TimerId timer_ = 0;
   Instant timerDueAt_{};
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -30,7 +30,8 @@
       static_cast<std::uint32_t>(std::clamp(settings.streamBufferBytes, kMinStreamWindow, kMaxStreamWindow));
   options.maxConnections = settings.maxConnectionsPerEngine;
   options.connectTimeout = settings.connectTimeout;
-  // Engines end the streams of a node from which they have received nothing for the duration of the lease.
+  // An engine ends a node's streams if it receives nothing from the node for the duration of the lease.
+  // PINGs must therefore be sent several times within a lease.
   options.keepaliveInterval = std::min(settings.keepaliveInterval, settings.recovery.engineLease / 4);
   options.keepaliveTimeout = settings.keepaliveTimeout;
   options.userAgent = "gannetcourse node/" + settings.name + " zone/" + settings.zone;
@@ -90,7 +91,7 @@
 }
 
 Node::~Node() {
-  driver_->stop();  // calls that end while the members are destroyed are not reported
+  driver_->stop();  // destroying the members ends calls, whose events must not reach the core
   hooks_ = {};
 }
 
@@ -162,7 +163,7 @@
 }
 
 // ---- Reload ----
-// Everything that may throw comes first, so that a failed reload changes nothing.
+// All steps that may throw come before the first change, because a failed reload must change nothing.
 void Node::reload(const config::NodeSettings& settings) {
   const std::string restartOnly = config::firstRestartOnlyDifference(settings_, settings);
   if (!restartOnly.empty()) throw RestartRequired(restartOnly);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -24,7 +24,7 @@
 class RestartRequired : public std::invalid_argument {
  public:
   explicit RestartRequired(std::string setting);
-  /// Name of the first such setting, as in the log of a reload.
+  /// Name of the first changed setting that requires a restart, written as in the log of a reload.
   const std::string& setting() const { return setting_; }
 
  private:
@@ -34,17 +34,17 @@
 /// Owns all components of a router. All calls are made on the loop's thread; the loop must outlive the node.
 class Node final : private frontend::RouterHandle {
  public:
-  /// Any of them may be empty.
+  /// Callbacks of the node; each may be empty.
   struct Hooks {
-    std::function<void(const router::Record&)> onRecord;  ///< For each decision; must not block.
+    std::function<void(const router::Record&)> onRecord;  ///< Called for each decision; must not block.
     std::function<void(const std::string& package, const std::string& level, const std::string& text)> log;
   };
   /// Creates the driver of the core.
   using DriverFactory = std::function<std::unique_ptr<CoreDriver>(net::Loop&, const Settings&,
                                                                   router::Options, CoreDriver::Hooks)>;
 
-  /// Listens, reads its engine list and starts. `incarnation` distinguishes the starts of one node and is
-  /// part of its request names. Without a factory the driver is a plain CoreDriver.
+  /// Listens, reads its engine list and starts. `incarnation` must differ for each start of a node, because
+  /// it is part of the ids that the node gives to requests. If `makeDriver` is null, a CoreDriver is used.
   /// Throws std::system_error if it cannot listen, config::InvalidFile if the engine list file or the key
   /// file is invalid.
   Node(net::Loop& loop, config::NodeSettings settings, const std::string& incarnation, Hooks hooks,
@@ -56,7 +56,7 @@
   std::size_t engineCount() const { return engineList_.engines().size(); }
 
   /// Applies new settings and reads the engine list file and the key file again. Throws config::InvalidFile
-  /// or RestartRequired; then nothing has changed.
+  /// or RestartRequired; if it throws, the node keeps its earlier settings.
   void reload(const config::NodeSettings& settings);
 
   /// Rejects new requests. Calls `onDrained` from the loop once every accepted request has its response and
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -59,7 +59,7 @@
   std::vector<CallEnd> ends;
 };
 
-TEST_F(ChannelTest, ReadsResponse) {
+TEST_F(ChannelTest, DeliversMessagesAndStatusOfResponse) {
   const CallEnd end =
       endAfterResponse(responseHeaders() + encodeFrame(kData, 0, 1, frame("world")) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kStatus);
@@ -68,8 +68,9 @@
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kOk);
 }
 
-// A server may send status and response headers in one block; its message is percent-encoded.
-TEST_F(ChannelTest, ReadsTrailersOnlyResponse) {
+// A server may send the status in the response headers, without trailers. The status message is
+// percent-encoded.
+TEST_F(ChannelTest, ReadsStatusFromTrailersOnlyResponse) {
   const CallEnd end = endAfterResponse(encodeFrame(
       kHeaders, kEndHeaders | kEndStream, 1,
       encodeHeaderBlock({{":status", "200"}, {"grpc-status", "8"}, {"grpc-message", "full%21"}})));
@@ -119,7 +120,7 @@
   EXPECT_EQ(ends.front().kind, CallEnd::Kind::kNotSent);
   EXPECT_EQ(engines::outcomeOf(ends.front()), Outcome::kConnectFailed);
   listener.rejectConnections(false);
-  // The backoff is bounded, so a later call reconnects to the server.
+  // Once the backoff has passed, a later call reconnects to the server.
   ASSERT_TRUE(waitUntil([&] {
     if (!peer && ends.size() < 100) {
       const auto again = startCall();
@@ -143,13 +144,13 @@
   EXPECT_EQ(end.status.code, Code::kUnavailable);
 }
 
-TEST_F(ChannelTest, ReportsResponseThatEndsInsideMessageAsMalformed) {
+TEST_F(ChannelTest, ReportsResponseEndingInsideMessageAsMalformed) {
   const CallEnd end = endAfterResponse(responseHeaders() +
                                        encodeFrame(kData, 0, 1, frame("world").substr(0, 8)) + trailers("0"));
   EXPECT_EQ(end.kind, CallEnd::Kind::kMalformed);
 }
 
-// The length in the prefix exceeds the limit: the channel must not buffer the message and must end the call.
+// A message whose prefix announces a length above the limit must not be buffered; the call must end.
 TEST_F(ChannelTest, ResetsStreamOfOversizedResponse) {
   const CallEnd end =
       endAfterResponse(responseHeaders() + encodeFrame(kData, 0, 1, std::string("\0\xff\xff\xff\xff", 5)));
@@ -159,11 +160,11 @@
       if (f.type == kReset && f.stream == 1) return true;
     }
     return false;
-  })) << "the server must receive a RST_STREAM";
+  })) << "the server received no RST_STREAM";
 }
 
 // A response that arrives after cancel() must be ignored; onEnd must not be called again.
-TEST_F(ChannelTest, CancelResetsStreamAndCallsOnEndAtOnce) {
+TEST_F(ChannelTest, CancelResetsStreamAndCallsOnEndOnceBeforeReturning) {
   const auto started = startCall();
   ASSERT_TRUE(
       waitUntil([&] { return peer && !peer->frames().empty() && peer->frames().back().type == kData; }));
@@ -189,10 +190,10 @@
   endAfterResponse(responseHeaders() + encodeFrame(kData, 0, 1, frame("world")) + trailers("0") +
                    trailers("13"));
   EXPECT_TRUE(waitUntil([&] { return stray > 0; }));
-  EXPECT_EQ(ends.size(), 1u) << "onEnd must not be called again";
+  EXPECT_EQ(ends.size(), 1u) << "onEnd must be called exactly once";
 }
 
-// Otherwise a server could send without limit while the reader is paused.
+// Guards against a server that can send without limit while the call is paused.
 TEST_F(ChannelTest, PausedCallSendsNoWindowUpdate) {
   const auto started = startCall();
   started->pause(true);
@@ -203,7 +204,7 @@
   for (int i = 0; i < 20; ++i) loop.runOnce(Duration(0.01));
   EXPECT_TRUE(messages.empty());
   const auto windowUpdates = [&] {
-    std::size_t count = 0;  // of WINDOW_UPDATE frames
+    std::size_t count = 0;  // number of WINDOW_UPDATE frames
     for (const Frame& f : peer->frames()) count += f.type == 8 && f.stream == 1;
     return count;
   };
--- a/tests/frame_test.cpp
+++ b/tests/frame_test.cpp
@@ -55,7 +55,7 @@
     return code;
   }
 
-  // Decodes the header blocks received so far, in order: each connection here has one response.
+  // Decodes the header blocks received so far, in order. Valid because each connection has one response only.
   std::optional<Code> decodeStatus();
 
   // Replaces the handler by one that stores the call and does not respond.
@@ -67,11 +67,11 @@
   }
 
   net::Loop loop;
-  std::shared_ptr<ServerCall> openCall;  // after keepCallsOpen()
+  std::shared_ptr<ServerCall> openCall;  // the last call; set only after keepCallsOpen()
   bool cancelled = false;
   Server server;
   std::unique_ptr<RawHttp2Socket> raw;
-  std::vector<std::string> receivedMessages;  // by the handler
+  std::vector<std::string> receivedMessages;  // request messages that reached the handler
 };
 
 std::optional<Code> FrameTest::decodeStatus() {
@@ -116,7 +116,7 @@
 }
 
 // A gRPC protocol error must end the call with its status code and not reach the handler.
-TEST_F(FrameTest, RejectsProtocolErrorsWithStatus) {
+TEST_F(FrameTest, RejectsGrpcProtocolErrorsWithStatus) {
   struct Case {
     const char* name;
     std::string path, body;
@@ -148,7 +148,7 @@
     raw = RawHttp2Socket::connectTo(server.port());
     EXPECT_EQ(statusOfRequest(c.path, c.body, c.extraHeaders), c.code) << c.name;
   }
-  EXPECT_TRUE(receivedMessages.empty()) << "invalid requests must not reach the handler";
+  EXPECT_TRUE(receivedMessages.empty()) << "an invalid request reached the handler";
 }
 
 // Requests that are not gRPC (here: text/html) get an HTTP response and do not reach the handler.
@@ -175,7 +175,7 @@
   }));
 }
 
-// Invalid HTTP/2 must end its own connection only; the server goes on to serve new ones.
+// Invalid HTTP/2 must end only the connection on which it arrives. The server must accept new connections.
 TEST_F(FrameTest, ClosesConnectionOnInvalidHttp2AndServesOthers) {
   const std::string broken[] = {
       "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -197,8 +197,8 @@
   EXPECT_EQ(statusOfRequest("/test.Echo/Say", frame("still here")), Code::kOk);
 }
 
-// Guards against unlimited memory for headers: a small block that decompresses to a large one, and a header
-// block that is continued without an end.
+// Guards against unlimited memory use for headers. Two attacks are sent: a small header block that
+// decompresses to a large one, and a header block that never ends.
 TEST_F(FrameTest, ClosesConnectionOnHpackBombAndOnEndlessHeaders) {
   // An entry of 3,900 bytes in the dynamic table, referenced a thousand times.
   std::string bomb = "\x40" + encodeHeaderBlock({{"bomb", std::string(3900, 'b')}}).substr(1);
@@ -233,7 +233,7 @@
   keepCallsOpen();
   raw->write(kPreface + request(1, frame("x")));
   ASSERT_TRUE(waitUntil([&] { return openCall != nullptr; }));
-  raw.reset();  // with unread bytes, so the kernel sends a RST, no FIN
+  raw.reset();  // unread bytes make the kernel send a RST instead of a FIN
   openCall->send("hello");
   EXPECT_TRUE(waitUntil([&] { return cancelled; }));
 }
--- a/tests/independent_test.cpp
+++ b/tests/independent_test.cpp
@@ -85,7 +85,7 @@
   std::unique_ptr<lab::NodeProcess> node_;
 };
 
-class IndependentTest : public ::testing::Test {
+class GrpcInteroperabilityTest : public ::testing::Test {
  protected:
   void SetUp() override { connect({}); }
 
@@ -131,7 +131,7 @@
   std::unique_ptr<v1::Chat::Stub> chat;
 };
 
-TEST_F(IndependentTest, StreamsCompleteResponse) {
+TEST_F(GrpcInteroperabilityTest, NodeStreamsCompleteResponse) {
   grpc::ClientContext context;
   setDeadline(context, 20);
   context.AddMetadata("x-customer", "kelaniya");
@@ -144,7 +144,7 @@
   EXPECT_EQ(std::string(verdict->second.data(), verdict->second.size()), "served");
 }
 
-TEST_F(IndependentTest, RespondsToUnaryCalls) {
+TEST_F(GrpcInteroperabilityTest, NodeRespondsToUnaryHealthChecks) {
   const auto health = grpc::health::v1::Health::NewStub(channel);
   grpc::health::v1::HealthCheckResponse response;
   for (int i = 0; i < 200 && response.status() != grpc::health::v1::HealthCheckResponse::SERVING; ++i) {
@@ -159,7 +159,7 @@
   EXPECT_EQ(health->Check(&context, unknown, &response).error_code(), grpc::StatusCode::NOT_FOUND);
 }
 
-TEST_F(IndependentTest, ServesManyStreamsOnOneConnection) {
+TEST_F(GrpcInteroperabilityTest, NodeServesManyStreamsOnOneConnection) {
   std::vector<std::thread> clients;
   std::atomic<int> served{0};
   for (std::uint64_t c = 0; c < 8; ++c) {
@@ -175,7 +175,7 @@
   EXPECT_EQ(served, 80);
 }
 
-TEST_F(IndependentTest, CancelEndsCallAtEngine) {
+TEST_F(GrpcInteroperabilityTest, ClientCancellationEndsCallAtEngine) {
   service.tokenTime = 0.2;
   grpc::ClientContext context;
   setDeadline(context, 60);
@@ -192,7 +192,7 @@
   EXPECT_EQ(service.openCalls, 0u);
 }
 
-TEST_F(IndependentTest, CallEndsAtDeadline) {
+TEST_F(GrpcInteroperabilityTest, CallPastDeadlineEndsWithDeadlineExceeded) {
   service.tokenTime = 1;
   grpc::ClientContext context;
   setDeadline(context, 3);
@@ -203,7 +203,7 @@
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::DEADLINE_EXCEEDED);
 }
 
-TEST_F(IndependentTest, RejectsInvalidCallWithStatus) {
+TEST_F(GrpcInteroperabilityTest, NodeRejectsInvalidCallWithMatchingStatus) {
   const auto statusOf = [&](const v1::GenerateRequest& message, bool deadline = true) {
     grpc::ClientContext context;
     if (deadline) setDeadline(context, 10);
@@ -225,7 +225,7 @@
   EXPECT_EQ(statusOf(message).error_code(), grpc::StatusCode::RESOURCE_EXHAUSTED);
 }
 
-TEST_F(IndependentTest, AcceptsLargeMessage) {
+TEST_F(GrpcInteroperabilityTest, NodeAcceptsLargeMessage) {
   grpc::ClientContext context;
   setDeadline(context, 30);
   v1::GenerateRequest message = request(16);
@@ -239,7 +239,7 @@
   EXPECT_EQ(tokens, lab::answerLength(16, 30));
 }
 
-TEST_F(IndependentTest, RejectsCompressedRequestAsUnimplemented) {
+TEST_F(GrpcInteroperabilityTest, NodeRejectsCompressedRequestAsUnimplemented) {
   const auto stub = v1::Chat::NewStub(channel);
   grpc::ClientContext context;
   setDeadline(context, 10);
@@ -253,8 +253,8 @@
   EXPECT_EQ(stream->Finish().error_code(), grpc::StatusCode::UNIMPLEMENTED);
 }
 
-// Guards against missing PING acknowledgements: the client library would close the connection.
-TEST_F(IndependentTest, KeepsConnectionAliveWithKeepalivePings) {
+// Guards against missing PING acknowledgements, for which the client library would close the connection.
+TEST_F(GrpcInteroperabilityTest, ConnectionStaysOpenWhileClientSendsKeepalivePings) {
   grpc::ChannelArguments arguments;
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, 1000);
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 10000);
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -27,7 +27,7 @@
   }
   grpc::Server server;
   v1::EngineList first;
-  bool sendEmpty = false;  // sends `first` even if it has no entries
+  bool sendEmpty = false;  // sends `first` even if it lists no engine
   int watches = 0;
   ServerCall watch;
 };
@@ -85,8 +85,9 @@
   EXPECT_EQ(other.decodes, 6);
 }
 
-// The loss of the registry must not remove engines, neither from a running node nor at its next start.
-TEST_F(NodeTest, KeepsEngineListWhenWatchBreaksAndReopensIt) {
+// If the registry fails, a running node must keep its engines, and a node that starts must use the cached
+// list.
+TEST_F(NodeTest, KeepsEngineListAndReopensWatchWhenWatchBreaks) {
   ScriptedRegistry registry(loop);
   registry.first.set_full(true);
   ScriptedRegistry::add(registry.first, prefillEngine, v1::EngineEntry::PREFILL);
@@ -100,7 +101,7 @@
   runFor(0.1);
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
-  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the last engine list must stay in use";
+  EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << "the node must keep using the last engine list";
   EXPECT_TRUE(waitUntil([&] { return registry.watches == 2; }));
   // A node that starts while the registry is down uses the cached list.
   channel.reset();
--- a/tests/node_engine_failure_test.cpp
+++ b/tests/node_engine_failure_test.cpp
@@ -6,9 +6,9 @@
 namespace gannetcourse::node {
 namespace {
 
-// The engine sends one token and then nothing. The client must get DEADLINE_EXCEEDED, and the engine's call
-// must be cancelled.
-TEST_F(NodeTest, EndsRequestWhenDecodeEngineSendsNothingMore) {
+// The decode engine sends one token and then nothing. The client must get DEADLINE_EXCEEDED, and the engine's
+// call must be cancelled.
+TEST_F(NodeTest, EndsRequestAtDeadlineWhenDecodeEngineStopsSending) {
   startWithTwoEngines();
   decodeEngine.onDecode = [](const ServerCall& call, const v1::DecodeRequest&) {
     ScriptedEngine::sendToken(call, 0, "one ");
@@ -17,10 +17,10 @@
   const Instant startedAt = net::monotonicNow();
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kDeadlineExceeded));
-  EXPECT_GE((net::monotonicNow() - startedAt).count(), 1.0) << "ended long before the deadline";
+  EXPECT_GE((net::monotonicNow() - startedAt).count(), 1.0) << "the request ended long before its deadline";
   EXPECT_EQ(response->tokens.size(), 1u);
   EXPECT_TRUE(waitUntil([&] { return decodeEngine.cancelled == 1; }))
-      << "the engine's call must be cancelled";
+      << "the call to the decode engine was not cancelled";
   EXPECT_EQ(node->core().pendingObligations(), 0u);
 }
 
@@ -58,7 +58,7 @@
   EXPECT_EQ(prefillEngine.releases, prefillEngine.prefills + kFailures);
 }
 
-// The reply and the cancellation cross on the wire; the reply must not start a decode.
+// The prefill engine replies after the client has cancelled. The reply must not start a decode.
 TEST_F(NodeTest, IgnoresPrefillReplyAfterCancellation) {
   startWithTwoEngines();
   ServerCall openCall;
@@ -86,7 +86,8 @@
   EXPECT_EQ(response->tokens.size(), 2u);
 }
 
-// The connection breaks during the decode of an at-most-once class; a retry could repeat its effect.
+// The connection breaks during the decode of an at-most-once request. A retry could repeat the effects of the
+// request.
 TEST_F(NodeTest, DoesNotRetryAtMostOnceRequestThatMayHaveRun) {
   startWithTwoEngines();
   decodeEngine.onDecode = [&](const ServerCall&, const v1::DecodeRequest&) {
@@ -133,7 +134,7 @@
   EXPECT_EQ(response->tokens.size(), 2u);
 }
 
-// Guards against a node that keeps using the channel of the earlier engine at the address.
+// Guards against a node that uses the channel of a removed engine for a new engine at the same address.
 TEST_F(NodeTest, UsesEngineThatReplacesAnotherOnSamePort) {
   auto first = std::make_unique<ScriptedEngine>(loop, 7);
   const std::uint16_t port = first->server.port();
@@ -162,7 +163,7 @@
     return [&](const ServerCall& call, const v1::DecodeRequest& request) {
       ScriptedEngine::sendToken(call, request.first_index(), request.first_index() == 0 ? "one " : "two");
       if (firstEngine != nullptr) return call->finish({});
-      firstEngine = &engine;  // its stream stays open
+      firstEngine = &engine;  // this engine keeps its stream open
     };
   };
   decodeEngine.onDecode = decodeAt(decodeEngine);
@@ -176,7 +177,7 @@
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
   EXPECT_EQ(response->tokens, (std::vector<std::string>{"one ", "two"}));
-  EXPECT_EQ(firstEngine->cancelled, 1) << "the first stream must be cancelled";
+  EXPECT_EQ(firstEngine->cancelled, 1) << "the stream of the first engine must be cancelled";
   EXPECT_EQ(firstEngine->decodes, 1);
 }
 
--- a/tests/node_flow_control_test.cpp
+++ b/tests/node_flow_control_test.cpp
@@ -40,9 +40,9 @@
   EXPECT_EQ(response->tokens.size(), 500u);
 }
 
-// The stream is lost while its client does not read. The call to the next engine starts unpaused and must be
-// paused as well.
-TEST_F(NodeTest, AppliesBackpressureToEngineOfContinuation) {
+// The connection to the decode engine breaks while the client does not read. The call to the next engine
+// starts unpaused, and the node must pause it as well.
+TEST_F(NodeTest, PausesNextEngineWhenStreamContinuesForClientThatDoesNotRead) {
   ScriptedEngine other(loop, 3);
   const std::uint32_t tokenCount = 45;
   std::vector<ServerCall> decodes;
@@ -69,7 +69,7 @@
   runFor(0.4);
   EXPECT_GT(firstIndexes[1], 0u);
   EXPECT_GT(decodes[1]->pendingBytes(), 1000u)
-      << "the buffer is still full, so the next engine must wait too";
+      << "the node's stream buffer is still full, but the next engine is not paused";
   response->call->pause(false);
   ASSERT_TRUE(waitForEnd(response));
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk)) << response->end->status.message;
--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -23,7 +23,7 @@
          fleet + "</gannetcourse>";
 }
 
-TEST_F(NodeTest, FailedReloadChangesNothing) {
+TEST_F(NodeTest, FailsReloadWithInvalidEngineListOrNewNodeNameAndKeepsServing) {
   startWithTwoEngines();
   std::ofstream(folder / "fleet.xml") << "<fleet xmlns='urn:gannetcourse:fleet:1'><engine id='1'/></fleet>";
   EXPECT_THROW(node->reload(node->settings()), config::InvalidFile);
@@ -35,7 +35,7 @@
   EXPECT_TRUE(response->endedWith(grpc::Code::kOk));
 }
 
-TEST_F(NodeTest, ReloadAppliesClassLimits) {
+TEST_F(NodeTest, ReloadAppliesChangedClassLimits) {
   startWithTwoEngines();
   config::NodeSettings changed = node->settings();
   changed.classes[0].maxPromptTokens = 50;
@@ -116,9 +116,9 @@
   for (const auto& response : {acceptedBefore, booked, inFlight, acceptedAfter}) EXPECT_EQ(response->ends, 1);
 }
 
-// Alternates between two settings while streams, prefills and retries are in flight. Before each reload, one
-// with invalid settings fails.
-// Some decodes and prefills stay open during a reload; some decodes fail.
+// Alternates between two settings while streams, prefills and retries are in flight. Before each valid
+// reload, a reload with invalid settings is tried and fails. Some decodes and prefills stay open during a
+// reload; some decodes fail.
 class NodeMigrationUnderLoadTest : public NodeMigrationTest {
  protected:
   NodeMigrationUnderLoadTest() {
@@ -172,7 +172,7 @@
   std::vector<ServerCall> openPrefills;
   std::vector<std::shared_ptr<Response>> responses;
   std::set<std::uint64_t> atMostOnceRequests;
-  std::map<std::uint64_t, int> runs;  // by the request's seed
+  std::map<std::uint64_t, int> runs;  // number of runs for each seed of a request
 };
 
 TEST_F(NodeMigrationUnderLoadTest, RespondsOnceAndRunsAtMostOnceRequestsAtMostOnce) {
--- a/tests/node_request_test.cpp
+++ b/tests/node_request_test.cpp
@@ -59,8 +59,9 @@
   EXPECT_EQ(node->core().counters().accepted, 0u) << "invalid requests must not be accepted";
 }
 
-// Without engines requests are rejected; without a retry delay clients would retry at once.
-TEST_F(NodeTest, RejectionCarriesRetryDelay) {
+// A node without engines rejects requests. The rejection must contain a retry delay, because clients would
+// otherwise retry at once.
+TEST_F(NodeTest, RejectionWithoutEnginesContainsRetryDelay) {
   start(fileSource({}));
   const auto response = generate();
   ASSERT_TRUE(waitForEnd(response));
@@ -100,7 +101,7 @@
   EXPECT_FALSE(late->endedWith(grpc::Code::kOk));
 }
 
-TEST_F(NodeTest, HealthWatchReportsNotServingOnDrain) {
+TEST_F(NodeTest, HealthWatchReportsNotServingWhenDrainStarts) {
   startWithTwoEngines();
   using ::grpc::health::v1::HealthCheckRequest;
   using ::grpc::health::v1::HealthCheckResponse;
--- a/tests/node_resume_test.cpp
+++ b/tests/node_resume_test.cpp
@@ -6,8 +6,8 @@
 namespace gannetcourse::node {
 namespace {
 
-// The node is destroyed after two tokens. Its successor must continue with the third, under a higher attempt
-// number than the first node used.
+// The node is destroyed after two tokens. Another node must continue with the third token, with a higher
+// attempt number than the first node used.
 TEST_F(NodeTest, ResumesResponseAtAnotherNodeAfterNodeDied) {
   std::ofstream(folder / "keys") << "autumn " << std::string(64, 'a') << "\n";
   const std::string source = fileSource({{&prefillEngine, "prefill"}, {&decodeEngine, "decode"}});
@@ -30,7 +30,7 @@
   ASSERT_TRUE(waitUntil([&] { return first->tokens.size() == 2; }));
   ASSERT_FALSE(first->resumeToken.empty());
   EXPECT_EQ(first->resumeToken.find("n1-t"), std::string::npos) << "the token must be encrypted";
-  node.reset();  // like a crash: its connections close
+  node.reset();  // simulates a crash: the node's connections close
   ASSERT_TRUE(waitUntil([&] { return first->end && decodeEngine.cancelled == 1; }));
   start(source, keys, "later");
   v1::GenerateRequest rest = query();
@@ -43,7 +43,7 @@
   EXPECT_EQ(second->tokens, (std::vector<std::string>{"c ", "d"}));
   EXPECT_EQ(continuedPrompt, "why?a b ");
   EXPECT_EQ(firstIndex, 2u);
-  EXPECT_EQ(attempt, 3u) << "must exceed the attempts of the first node";
+  EXPECT_EQ(attempt, 3u) << "the attempt number must exceed those of the first node";
   EXPECT_GE(decodeEngine.fences, 1) << "the first node's attempt must be fenced";
 }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -56,7 +56,7 @@
     reader.add(bytes);
     EXPECT_FALSE(reader.next());
     reader.add(frame("good"));
-    EXPECT_FALSE(reader.next()) << "no message after a fault";
+    EXPECT_FALSE(reader.next()) << "the reader returned a message after a fault";
     return reader.fault();
   };
   EXPECT_EQ(faultOf(std::string("\1\0\0\0\1x", 6)), MessageReader::Fault::kCompressed);
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -170,7 +170,7 @@
 }
 
 // accept() fails during a shutdown. Closing the listener at once would reset the connections in its queue.
-TEST_F(SystemCallsTest, RetriesFailedAcceptBeforeListenerIsClosed) {
+TEST_F(SystemCallsTest, ShutdownRetriesFailedAcceptBeforeClosingListener) {
   for (const int error : {ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO, EHOSTUNREACH}) {
     http1::Server server(loop, {}, {}, [](const std::shared_ptr<http1::Exchange>& exchange) {
       exchange->respond(503, "", "", true);
