--- a/lab/bench.cpp
+++ b/lab/bench.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 constexpr int kPrefillEngines = 2, kDecodeEngines = 2;
-constexpr int kMaxStreams = 20000;    // per connection
-constexpr int kCoreRequests = 20000;  // of the measurement without a network
+constexpr int kMaxStreams = 20000;    // streams per connection
+constexpr int kCoreRequests = 20000;  // requests of the measurement without a network
 
 // An event loop on its own thread. Owns the object that `make` creates on that thread.
 class LoopThread {
@@ -126,7 +126,8 @@
   return "<gannetcourse xmlns=\"urn:gannetcourse:settings:1\"><node name=\"bench\" zone=\"north\"/>"
          "<listen grpc=\"127.0.0.1:0\" max-streams=\"20000\"/><zones><zone name=\"north\"/></zones>"
          "<classes><class name=\"query\" aim=\"2s\" token-aim=\"60ms\"/></classes>"
-         // The streams of the memory measurement are silent on purpose and must not count as lost.
+         // The streams of the memory measurement receive no tokens on purpose; the node must not count them
+         // as lost.
          "<engines connections=\"16\"/><recovery silence-at-least=\"10min\"/>"
          "<fleet file=\"" +
          fleetFile + "\"/><log level=\"warn\"/></gannetcourse>";
@@ -162,8 +163,8 @@
       decodeChannels_.push_back(std::make_unique<grpc::Channel>(loop_, to, options));
   }
 
-  // Keeps `concurrency` requests in flight. With prefill engines, calls the engines directly; without, the
-  // decode endpoints are nodes or relays.
+  // Keeps `concurrency` requests in flight. If there are prefill endpoints, they and the decode endpoints are
+  // engines, which are called directly. Otherwise, the decode endpoints are nodes or relays.
   Load run(double seconds, int concurrency) {
     load_ = {};
     running_ = true;
--- a/lab/clients.cpp
+++ b/lab/clients.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kChannels = 2;      // connections to each node
-constexpr std::size_t kMaxSessions = 64;  // per class that may get another turn
+constexpr std::size_t kMaxSessions = 64;  // sessions per class that may get another turn
 constexpr double kWatchdogDelay = 3;      // seconds after an attempt's deadline; then it counts as unanswered
 constexpr double kSlowReaderPause = 0.4;  // seconds for which a slow reader pauses at the start
 
@@ -181,7 +181,7 @@
   call->cancel();
 }
 
-// Some users cancel before the response ends, some read slowly.
+// Makes some users cancel their attempt and some read its response slowly, at random.
 void Clients::simulateUser(ClientAttemptId id, const std::shared_ptr<grpc::ClientCall>& call,
                            const ScenarioClass& c) {
   std::uniform_real_distribution<double> draw;
--- a/lab/clients.h
+++ b/lab/clients.h
@@ -19,7 +19,8 @@
 
 /// The service that the clients received. Durations are seconds.
 struct ServiceCounts {
-  // A request and its retries count as one; in time: first token within the TTFT objective.
+  // A request and its retries count as one. `inTime` counts the requests whose first token arrived within the
+  // TTFT objective.
   std::uint64_t requests = 0, inTime = 0;
   std::vector<double> firstTokens;  // time to first token of each served attempt
   std::vector<double> longestGaps;  // longest time between two tokens of each served attempt
@@ -27,7 +28,8 @@
   std::uint64_t tokens = 0;
 };
 
-/// All clients of a scenario. Runs on the testbed's loop; the testbed and the scenario must outlive it.
+/// All clients of a scenario. Runs on the testbed's loop; the testbed and the scenario must outlive the
+/// clients.
 class Clients {
  public:
   Clients(Testbed& testbed, const Scenario& scenario, std::uint64_t seed);
@@ -46,7 +48,7 @@
   std::size_t heavyClass = 0;
   std::optional<std::string> abusiveTenant;  // retry_abuse: the tenant whose clients retry too much
   std::uint32_t abuseRetries = 10;
-  double abuserTimeoutShare = 0.4;  // timeout of its attempts, as a share of the TTFT objective
+  double abuserTimeoutShare = 0.4;  // timeout of that tenant's attempts, as a share of the TTFT objective
 
  private:
   struct Node {
--- a/lab/core_cost.cpp
+++ b/lab/core_cost.cpp
@@ -65,7 +65,8 @@
   }
 
  private:
-  // Answers the commands as an engine would. Returns whether there was one to answer.
+  // Answers the pending commands of the core as an engine would. Returns whether any command needed an
+  // answer.
   bool answerCommands() {
     bool answered = false;
     for (const router::Command& command : core_.takeCommands()) {
@@ -117,7 +118,8 @@
   }
 
  private:
-  // Stores the timers that were set. Returns the last attempt that was started, if any.
+  // Takes the decision module's actions: stores the timers that it sets, and returns the last attempt that it
+  // starts, if any.
   std::optional<StartAttempt> takeActions() {
     std::optional<StartAttempt> started;
     for (const Action& action : actions_) {
--- a/lab/core_cost.h
+++ b/lab/core_cost.h
@@ -8,10 +8,12 @@
 /// CPU seconds per request.
 struct CoreCost {
   double core = 0;    ///< The core, including the decision module.
-  double module = 0;  ///< The decision module alone, with the same events.
+  double module = 0;  ///< The decision module alone, without a core.
 };
 
-/// Runs `requests` requests of `tokens` output tokens each through a core, then through a decision module.
+/// Measures both costs on the same thread. First runs `requests` requests of `tokens` output tokens each
+/// through a core, which contains a decision module. Then passes the events of as many requests directly to a
+/// decision module, without a core; it receives no events for single tokens.
 CoreCost measureCoreCost(const Settings& settings, int prefillEngines, int decodeEngines, int requests,
                          int tokens);
 
--- a/lab/engine_model.cpp
+++ b/lab/engine_model.cpp
@@ -97,7 +97,7 @@
   cacheOrder_.emplace_front(key, tokens);
   cache_[key] = cacheOrder_.begin();
   cachedTokens_ += tokens;
-  // States and streams have priority over cached prefixes: evicts the oldest prefixes until all fits.
+  // Evicts the oldest cached prefixes until the memory suffices: states and streams have priority over them.
   while (!cacheOrder_.empty() && cachedTokens_ + memoryUsed() > spec_.memoryTokens) {
     cachedTokens_ -= cacheOrder_.back().second;
     cache_.erase(cacheOrder_.back().first);
@@ -198,7 +198,8 @@
   onDone();
 }
 
-// Called when the memory is full: puts the newest stream back into the queue, to be prefilled again.
+// Frees memory when it is full: puts the newest stream back into the queue, where it has to be prefilled
+// again.
 std::uint64_t EngineModel::preemptNewest() {
   const auto newest = std::find_if(decodes_.rbegin(), decodes_.rend(), [](const auto& entry) {
     return entry.second.stage == DecodeJob::Stage::kDecoding;
--- a/lab/engine_model.h
+++ b/lab/engine_model.h
@@ -1,6 +1,6 @@
-// A model of an engine's work: slots, queue, memory, prefix cache, slow start, load reports. It advances in
-// steps of real time and does not claim to match real machines. No I/O: the caller provides the time, and the
-// jobs' callbacks report the results.
+// A model of an engine's work: slots, queue, memory, prefix cache, slow start, load reports. The model
+// advances in steps of real time. It is simplified: its speeds need not match those of real machines. No I/O:
+// the caller provides the time, and the jobs' callbacks report the results.
 #pragma once
 
 #include <cstdint>
@@ -35,8 +35,8 @@
   double initialCapacity = 0.3, slowStartDuration = 13;
 };
 
-/// The response that every fake decode engine gives to a seed, so that clients can check it: its number of
-/// tokens (from maxTokens / 3 to maxTokens) and the text of each token.
+/// The length in tokens (from maxTokens / 3 to maxTokens) and the text of each token of a fake decode
+/// engine's response. Both depend only on the arguments, so that clients can check the response.
 std::uint32_t answerLength(std::uint64_t seed, std::uint32_t maxTokens);
 std::string answerText(std::uint64_t seed, std::uint32_t index);
 
@@ -54,8 +54,9 @@
   std::uint64_t seed = 0;
   std::uint32_t outputTokens = 0;
   bool needsPrefill = false;  ///< The request has no state; only a mixed engine accepts it.
-  /// Called in each step once the job has a slot and memory, until it returns a value: the seconds that the
-  /// transfer of the state takes, or a negative value if the state is lost. Empty: not known yet.
+  /// Called in each step once the job has a slot and memory, until the function returns a value. The value is
+  /// the number of seconds that the transfer of the state takes, or negative if the state is lost. The
+  /// function returns nothing as long as the transfer cannot start.
   std::function<std::optional<double>()> startFetch;
   std::function<void()> onFetched, onStateLost, onDone;
   std::function<void(std::uint32_t index)> onToken;
@@ -63,7 +64,7 @@
   enum class Stage { kQueued, kFetching, kPrefilling, kDecoding } stage = Stage::kQueued;
   double fetchRemaining = -1, prefillRemaining = 0, tokensDue = 0;
   std::uint32_t nextIndex = 0;  // of the next token
-  bool preempted = false;       // lost its memory; has to be prefilled again
+  bool preempted = false;       // its memory was taken for other streams; has to be prefilled again
   double memoryTokens = 0;      // memory in use, in tokens
 };
 
@@ -76,7 +77,7 @@
   /// Simulates a new process: drops all jobs and states; slow start begins at `startedAt`, if given.
   void restart(std::optional<double> startedAt);
 
-  /// False if the queue is full; addPrefill() also if the memory is full.
+  /// Both return false if the queue is full, addPrefill() also if the memory is full.
   bool addPrefill(std::uint64_t jobId, PrefillJob job);
   bool addDecode(std::uint64_t jobId, DecodeJob job);
   void remove(std::uint64_t jobId);
--- a/lab/fake_engine.h
+++ b/lab/fake_engine.h
@@ -25,11 +25,10 @@
   Ledger& ledger;
   std::mt19937_64& random;
   std::vector<std::string> zones;
-  // Rates of state transfers in tokens per second; to another zone, a transfer takes zoneFactor times as
-  // long.
+  // Rates of state transfers in tokens per second. A transfer to another zone takes zoneFactor times as long.
   double sameCellRate = 250000, otherCellRate = 120000, zoneFactor = 2;
   double crossCellSlowdown = 1;             ///< Divides otherCellRate; set by a fault.
-  std::optional<std::string> isolatedZone;  ///< Cannot reach other zones, nor be reached.
+  std::optional<std::string> isolatedZone;  ///< Has no connection to other zones, in both directions.
   std::vector<double> meanPrompt;  // mean prompt tokens by class; the weight of a request is relative to it
   std::vector<std::string> classes;
   double slowStartOverloadFactor = 2.5, slowStartWindow = 2;
@@ -49,7 +48,7 @@
   double errorShare = 0;                    // fast_errors
   std::optional<std::string> failingClass;  // class_fail: affects calls of this class
   double failingShare = 0;
-  bool failByError = false;  // otherwise the call gets no response
+  bool failByError = false;  // false: the call gets no response
   std::optional<std::string> throttledTenant, throttledClass;
   double repeatShare = 0;                      // probability that a token is sent twice
   double resetAtEndShare = 0;                  // probability that a stream is reset after its last token
@@ -80,7 +79,8 @@
   bool isCrashed() const { return crashed_; }
   bool isSilent() const { return silent_; }
   bool isDown() const { return crashed_ || silent_; }
-  /// Whether it failed from overload in slow start; it then stays down.
+  /// Whether the engine failed from overload in slow start. Such an engine stays down: restart() does
+  /// nothing.
   bool hasFailedFromOverload() const { return failedFromOverload_; }
 
   // ---- For decode engines that fetch states ----
@@ -88,7 +88,7 @@
   void onStateFetched(const std::string& state);
   void setFetching(const std::string& state, bool on);
 
-  /// Handles everything that its sockets have received, so that the audit is up to date.
+  /// Handles all data that the engine's sockets have received, so that the audit is up to date.
   void poll() { server_.readAllNow(); }
   std::size_t openCalls() const { return openCalls_.size(); }
   std::size_t states() const { return states_.size(); }
@@ -127,11 +127,12 @@
   void fence(const Call& call, std::string_view bytes);
   void probe(const Call& call);
 
-  // Records an attempt that arrives while the engine is suspended: it counts as open from its arrival.
+  // Records an attempt that arrives while the engine is suspended, because an attempt counts as open from its
+  // arrival on.
   void recordUnhandledCall(const Call& call, std::string_view bytes);
   EngineAttemptKey recordAttempt(const Call& call, const AttemptInfo& attempt);
-  // Records the attempt and returns the handle of its call. Empty if the call was fenced, a fault applies to
-  // it, or it makes the engine fail from overload.
+  // Records the attempt and returns the handle of its call. Returns nothing if the call must not run: it was
+  // fenced, a fault applies to the call, or the call makes the engine fail from overload.
   std::optional<std::uint64_t> admit(const Call& call, const AttemptInfo& attempt);
   bool endAttempts(const std::string& request, std::uint32_t upTo, const char* why);
   void endLeases(double now);
--- a/lab/fake_engine_calls.cpp
+++ b/lab/fake_engine_calls.cpp
@@ -101,8 +101,9 @@
   return handle;
 }
 
-// Reports attempts of the same request that are open at the same time. An attempt may only seem to be open
-// because its close has not been read yet, so all sockets are read and the attempts checked again.
+// Reports attempts of the same request that are open at the same time. An attempt may seem to be open only
+// because the lab has not read its close yet. The sockets of all engines are therefore read, and the attempts
+// checked again, at once and after kRecheckDelay.
 void FakeEngine::checkConcurrentAttempts(EngineAttemptKey key) {
   const auto suspects = testbed_.ledger.otherOpenAttempts(key);
   if (suspects.empty()) return;
@@ -302,8 +303,8 @@
 }
 
 // ---- Fences and leases ----
-// Ends the request's attempts up to number `upTo` and rejects them from then on. Returns whether any was
-// open.
+// Ends the request's attempts with numbers up to `upTo` and rejects attempts with these numbers from then on.
+// Returns whether any of these attempts was open.
 bool FakeEngine::endAttempts(const std::string& request, std::uint32_t upTo, const char* why) {
   Fence& fenced = fences_[request];
   fenced = {std::max(fenced.firstAllowedAttempt, upTo + 1), testbed_.now()};
--- a/lab/fake_registry.h
+++ b/lab/fake_registry.h
@@ -1,5 +1,5 @@
-// A fake registry: streams the engine list to the nodes. The caller delays the updates as its scenario
-// requires.
+// A fake registry: streams the engine list to the nodes. It sends updates immediately; the delays of a
+// scenario are applied by the code that calls it.
 #pragma once
 
 #include <map>
@@ -19,11 +19,11 @@
   explicit FakeRegistry(Testbed& testbed);
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
 
-  /// Sets an engine's entry and notifies all watchers immediately. `leavesUnixMs`: when a draining engine
-  /// shuts down, in Unix milliseconds; 0 = unknown.
+  /// Sets an engine's entry in the engine list and notifies all watching nodes immediately. `leavesUnixMs`:
+  /// time at which a draining engine shuts down, in Unix milliseconds; 0 = unknown.
   void set(const FakeEngine& engine, v1::EngineEntry::State state, std::int64_t leavesUnixMs = 0);
   void remove(std::uint32_t engine);
-  void setDown(bool down);  ///< Like a crash: closes all connections and rejects new ones while down.
+  void setDown(bool down);  ///< While down, has no connections and rejects new ones, as after a crash.
 
  private:
   struct Watcher {
--- a/lab/fault_injector.cpp
+++ b/lab/fault_injector.cpp
@@ -157,7 +157,8 @@
   calls.throttleDelay = fault.extra.value_or(0.2) * scenario_.classes.front().ttftObjective;
 }
 
-// The engine is down for `seconds`, then restarts in slow start. The registry learns of both with a delay.
+// Takes the engine down for `seconds`, then restarts it in slow start. The registry is updated some time
+// after the failure and some time after the restart.
 void FaultInjector::takeDown(FakeEngine& engine, double seconds, bool silently) {
   FakeEngine* const e = &engine;
   if (silently) {
@@ -204,8 +205,8 @@
   runAfter(every, [=, this] { pauseRepeatedly(picked, pause, every, end); });
 }
 
-// In waves: the engines are listed as draining, crash when the notice time is over, and are replaced by new
-// engines some seconds later.
+// Replaces engines in waves. The engines of a wave are listed as draining, crash when the notice time is
+// over, and are replaced by new engines some seconds later.
 void FaultInjector::preempt(const Picked& picked, const Fault& fault) {
   for (std::size_t i = 0; i < picked.size(); ++i) {
     FakeEngine* const engine = picked[i];
--- a/lab/fault_search.h
+++ b/lab/fault_search.h
@@ -1,6 +1,6 @@
 // Runs the real router core through every order of the events that can happen to a stream, up to a given
-// number of events, and checks the invariants: one final response, nothing after it, each token once and in
-// order, never two open attempts.
+// number of events, and checks the invariants: a stream gets one final response and nothing after that
+// response, each token is delivered once and in order, and a request never has two open attempts.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,9 @@
 
 struct FaultSearchResult {
   std::uint64_t paths = 0, steps = 0;
-  std::vector<std::string> violations;  // "progress, token gap, ...: violation"; only the first 20
+  /// At most 20 texts. From searchAllOrders(): the events that led to a violation, separated by commas, then
+  /// ": " and the violation. From searchRandomly(): "seed N: " and the violation.
+  std::vector<std::string> violations;
 };
 
 /// Runs every order of events of one stream, up to options.depth events.
--- a/lab/ledger.cpp
+++ b/lab/ledger.cpp
@@ -10,8 +10,9 @@
 namespace {
 
 constexpr std::size_t kMaxFindings = 300;
-constexpr double kMinTimeToContinue = 1;  // seconds before the deadline; later, a stream cannot be continued
-constexpr double kSlowStartSlack = 2;     // requests above the limit, for random variation of the load
+// Streams interrupted with less time (seconds) left until their deadline need not be continued.
+constexpr double kMinTimeToContinue = 1;
+constexpr double kSlowStartSlack = 2;  // requests above the limit, for random variation of the load
 
 std::string formatNumber(double value) {
   char text[32];
@@ -209,8 +210,8 @@
   for (auto& [name, state] : states_) state.exempt = state.exempt || state.engine == engine;
 }
 
-// Reports a violation if the state was held for longer than the lease limit without an open attempt of its
-// request.
+// Reports a violation if an engine held the state for longer than the lease limit while the request that the
+// state belongs to had no open attempt.
 void Ledger::checkStateLease(const State& state, double until) {
   if (state.exempt) return;
   auto spans = attemptSpans_[state.request];
--- a/lab/ledger.h
+++ b/lab/ledger.h
@@ -30,14 +30,16 @@
   std::vector<Class> classes;
 };
 
-/// The results of the audit. The first group counts client attempts, the second violations of the rules.
+/// The results of the audit.
 struct AuditCounts {
+  // Client attempts.
   std::uint64_t requests = 0, served = 0, rejected = 0, failed = 0;
+  // Violations of the rules.
   std::uint64_t unanswered = 0, secondResponses = 0, late = 0, overlapping = 0, duplicateEffects = 0,
                 afterDrain = 0, slowStartOverloads = 0, expiredStateLeases = 0, tokenFaults = 0;
-  // Streams that lost their decode engine at least 1 s before the client's deadline: all of them (broken),
-  // those of idempotent classes (resumable), and of the latter those that were continued (resumed) and those
-  // that were continued and delivered every token (completed).
+  // `broken` counts the streams that lost their decode engine at least 1 s before the client's deadline.
+  // `resumable` counts the broken streams of idempotent classes, `resumed` the resumable streams that were
+  // continued, and `completed` the resumed streams that delivered every token.
   std::uint64_t broken = 0, resumable = 0, resumed = 0, completed = 0;
   double reprefilledTokens = 0;       ///< Uncached prompt tokens prefilled for continuations.
   bool clean() const;                 ///< Whether no rule was violated.
@@ -57,9 +59,10 @@
   void onClientAttemptStarted(ClientAttemptId id, std::size_t classIndex, double at, double deadline,
                               std::uint32_t maxTokens);
   void onClientToken(ClientAttemptId id, std::uint32_t index, const std::string& text);
-  /// `lag` is the recent delay of the lab's event loop, in seconds; a response may be that late.
+  /// `lag` is the recent delay of the lab's event loop, in seconds. A response that is late by at most `lag`
+  /// is not counted as late, because the lab may only have read it late.
   void onClientAttemptEnded(ClientAttemptId id, ClientEnd end, double at, double lag);
-  /// A frame arrived on a stream that had already ended.
+  /// A client received a frame on a stream that had already ended.
   void onSecondResponse() { ++counts_.secondResponses; }
 
   // ---- Engines ----
@@ -70,8 +73,10 @@
                                          const std::string& request, ClientAttemptId id, double at);
   void onEngineAttemptClosed(EngineAttemptKey key, double at);
   bool isOpen(EngineAttemptKey key) const { return openAttempts_.count(key) > 0; }
-  /// Open attempts of the same request that were opened before this one, with their engines' ids.
+  /// The open attempts of the same request that were opened before attempt `key`, with the ids of their
+  /// engines.
   std::map<EngineAttemptKey, std::uint32_t> otherOpenAttempts(EngineAttemptKey key) const;
+  /// Counts a violation: two attempts of a request were open at the same time.
   void onConcurrentAttempts() { ++counts_.overlapping; }
   /// A decode engine's stream ended before it was complete.
   void onStreamInterrupted(ClientAttemptId id, double at);
@@ -82,16 +87,18 @@
   /// An engine has started to generate the attempt's response, which counts as the request's effect.
   void onEffect(EngineAttemptKey key, double at);
 
-  /// `nodeUnreachable`: the reply could not reach the node, so the lease limit does not apply.
+  /// `nodeUnreachable`: whether the engine's reply cannot reach the node. The lease limit does not apply
+  /// then, because the node does not know that it has to release the state.
   void onStateCreated(const EngineInfo& engine, const std::string& request, const std::string& state,
                       double at, bool nodeUnreachable = false);
   void onStateReleased(const std::string& state, double at);
-  void onEngineSilent(std::uint32_t engine);  ///< No release can reach the engine.
+  /// The engine has become silent. Its states are exempt from the lease limit, because no release reaches it.
+  void onEngineSilent(std::uint32_t engine);
 
   void onEngineStarted(std::uint32_t engine, double at);
-  /// An attempt arrived at an engine in slow start. `weight` is its cost relative to a mean request (at least
-  /// 1), `capacity` the engine's current capacity in mean requests per second. True if the engine fails from
-  /// overload.
+  /// An attempt arrived at an engine in slow start. `weight` is the cost of the attempt relative to a mean
+  /// request (at least 1), `capacity` the engine's current capacity in mean requests per second. Returns true
+  /// if this load makes the engine fail from overload.
   bool onSlowStartLoad(std::uint32_t engine, const std::string& node, double weight, double capacity,
                        double at);
 
@@ -101,7 +108,8 @@
   void onNotifiedServing(const std::string& node, std::uint32_t engine);
   void onNotifiedStart(const std::string& node, std::uint32_t engine, double at);
 
-  /// Ends the audit; attempts and states that are still open count as violations.
+  /// Ends the audit. Client attempts without a final response, engine attempts that are still open, and
+  /// states held beyond the lease limit count as violations.
   AuditCounts finish(double at);
   const AuditCounts& counts() const { return counts_; }
   std::size_t openAttempts() const { return openAttempts_.size(); }
--- a/lab/node_process.cpp
+++ b/lab/node_process.cpp
@@ -132,7 +132,7 @@
   }
 
   std::uint16_t port_ = 0;
-  net::Loop* loop_ = nullptr;  // set before the port is known
+  net::Loop* loop_ = nullptr;  // set by the thread before the constructor returns
   node::Node* node_ = nullptr;
   std::atomic<bool> ended_{false}, killed_{false};
   std::thread thread_;
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -7,7 +7,7 @@
 namespace gannetcourse::lab {
 namespace {
 
-constexpr std::uint32_t kMaxRetries = 14;  // an attempt's number takes 4 bits of the attempt id
+constexpr std::uint32_t kMaxRetries = 14;  // because a ClientAttemptId has 4 bits for the attempt number
 constexpr double kQuotaHeadroom = 1.3;     // ratio of a tenant's quota to its share of the traffic
 
 Role parseRole(const std::string& name) {
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -34,7 +34,7 @@
   double startsAt = 0, duration = 0;
   double engineShare = 0.2;           // share of the engines that it affects
   std::optional<Role> role;           // affects only engines of this role
-  std::optional<double> size, extra;  // parameters, whose meaning depends on the kind; see docs/lab.md
+  std::optional<double> size, extra;  // parameters; docs/lab.md lists their meaning for each kind
   std::uint32_t waves = 1;
   std::string requestClass, tenant, variant;
   std::string describe() const;
@@ -64,7 +64,7 @@
          slowStartWindow = 2;
   std::string reports = "answers";
   bool recoveryEnabled = true;  // whether streams that lose their decode engine are continued
-  double minSilence = 1.5;      // a stream counts as lost no earlier than after this silence
+  double minSilence = 1.5;      // minimum silence after which a stream counts as lost
 
   std::vector<Fault> faults;
 
--- a/lab/scenario_runner.cpp
+++ b/lab/scenario_runner.cpp
@@ -15,7 +15,7 @@
 const Duration kModelStep{0.005};     // interval at which the engine models advance
 const Duration kEngineListWait{0.3};  // time for the nodes to receive the engine list
 constexpr double kDrainTimeout = 15;  // seconds; nodes that have not ended by then are killed
-constexpr double kReleaseWait = 1.5;  // seconds for the last releases to arrive
+constexpr double kReleaseWait = 1.5;  // seconds that the lab waits at the end for the last releases
 
 class ScenarioFolder {
  public:
--- a/lab/seeded_fault.cpp
+++ b/lab/seeded_fault.cpp
@@ -12,7 +12,7 @@
 
 using router::Command;
 using Execute = std::function<void(const Command&)>;
-// Decides what happens to a command: calls `execute` for it, or does something else.
+// Decides what happens to a command: executes it with `execute`, delays it, replaces it or drops it.
 using CommandFault = std::function<void(const Command&, const Execute& execute, net::Loop&)>;
 
 class FaultyDriver final : public node::CoreDriver {
@@ -78,8 +78,8 @@
       });
 }
 
-// Every tenth decode attempt is delayed, and so are the releases of its request, so that the state outlives
-// its lease.
+// Every tenth decode attempt and the releases of its request are delayed, so that the state is held beyond
+// the lease limit.
 CommandFault lateReleases(Duration delay) {
   return [delay, pick = EveryNth(10), delayedRequests = std::set<std::string>()](
              const Command& command, const Execute& execute, net::Loop& loop) mutable {
--- a/soak/audit.py
+++ b/soak/audit.py
@@ -14,13 +14,14 @@
 
 # All times are in seconds.
 LOGGING_SLACK = 0.3  # delay with which a process on a busy machine may log an event
-LEASE_ALLOWANCE = 0.35  # a state lease may last this much longer: documented 0.3 s, plus 0.05 s of socket delay
+LEASE_ALLOWANCE = 0.35  # a state lease may exceed its limit by this: documented 0.3 s, plus 0.05 s of socket delay
 RELEASE_AFTER_OUTAGE = 0.65  # from the end of an outage of all engines to the release of overdue leases
 EVENT_ORDER_TOLERANCE = 0.05  # events of two processes that are this close may be logged in either order
-DRAIN_GRACE = 0.25 + 0.05  # how long a node may still send to an engine after the notice of its drain
-# A request accepted later than this after SIGTERM must get its complete response before SIGKILL.
+DRAIN_GRACE = 0.25 + 0.05  # how long a node may still send to an engine after the notice of the engine's drain
+# For requests sent at most this long after SIGTERM, SIGKILL may excuse a missing response (see excused_by_kill). Later
+# ones must get their complete response before SIGKILL, unless they are sent just before it.
 SHUTDOWN_ACCEPT_PERIOD = 0.7
-DEADLINE_SLACK = 0.5  # a response that is late by less has no value, but is not counted as lost
+DEADLINE_SLACK = 0.5  # a response that misses its deadline by less is not reported as lost
 BUDGET_SLACK = 0.15  # by how much the deadline sent to an engine may exceed the time that the request has left
 DISCONNECT_GRACE = 0.1  # how long after its client disconnected a request may still be sent to an engine
 INCOMPLETE_REQUEST_TIMEOUT = 3.0  # a node closes a connection whose request stays incomplete for this long
@@ -60,7 +61,7 @@
         return any(since <= t <= until for t in self.node_event_times[node]["sigkill"])
 
     def sigterm_before(self, node, killed):
-        """When the process that was killed at `killed` had received SIGTERM; None if it had not."""
+        """When the process that was killed at `killed` received SIGTERM; None if it received none before the kill."""
         started = max((t for t in self.node_event_times[node]["node_up"] if t < killed), default=0)
         return max((t for t in self.node_event_times[node]["sigterm"] if started < t < killed), default=None)
 
@@ -102,8 +103,9 @@
                 continue
             first = by_kind["started"] or by_kind["responded"]
             if by_kind["broken_off"] and not first:
-                # A node may close a reused connection between two requests; clients then send the request again. It
-                # may close a new one unread while many silent connections use up its file descriptors.
+                # A node may close a reused connection between two requests; clients then send the request again. While
+                # many silent connections use up its file descriptors, a node may also close a new connection without
+                # reading the request.
                 crowded = any(
                     request["t"] - 5 < t < request["t"] + 5 for t in self.node_event_times[request["node"]]["crowd"]
                 )
@@ -149,7 +151,8 @@
                 if rejected and runs:
                     yield f"duplicate: {request_id} was rejected, but ran"
             if request["cls"] == "keyed" and runs:
-                # The time of sending counts, because a repeat that was sent in time may be delayed on its path.
+                # The node must send a repeat within the class's window. The time of sending is checked rather than the
+                # time of arrival, because the network path may delay a repeat that was sent in time.
                 decode_engines = {">" + b["who"] for b in by_kind["began"] if b["role"] == "decode"}
                 repeats = [
                     e["t"]
@@ -188,15 +191,16 @@
     # ---- Rule 5: state leases and reservations are released in time ----
     @staticmethod
     def send_time(began, by_kind):
-        """When the attempt that logged `began` was sent. Two attempts may begin at once at an engine whose process was
-        stopped for a while; the deadline that was sent with each tells them apart."""
+        """When the node sent the attempt whose start the engine logged as `began`. If an engine's process was stopped
+        for a while, two attempts may begin there at once. They are then told apart by the deadline sent with each."""
         sends = [e for e in by_kind["sent"] if e["pair"].endswith(">" + began["who"]) and e["t"] <= began["t"]]
         same_budget = [e for e in sends if e.get("budget") == began["budget"]]
         return max((e["t"] for e in same_budget or sends), default=began["t"])
 
     def attempt_spans(self, by_kind):
-        """(start, end, engine) of each attempt that reached an engine. It ends when its node receives the response or
-        closes the connection, whichever is earlier; if the attempt arrives after that close, start equals end."""
+        """(start, end, engine) of each attempt that reached an engine. An attempt ends when its node receives the
+        response or closes the connection, whichever is earlier. If it reaches the engine after that close, start equals
+        end."""
         spans = []
         for began in by_kind["began"]:
 
@@ -213,7 +217,7 @@
 
     @staticmethod
     def state_wait_spans(by_kind, spans):
-        """Spans in which a decode engine waited for a state. An attempt that has taken a state waits for no other."""
+        """Spans in which a decode engine waited for a state: until the attempt took the state or ended."""
         decode_engines = {b["who"] for b in by_kind["began"] if b["role"] == "decode"}
         for began, end, engine in spans:
             if engine in decode_engines:
@@ -223,8 +227,8 @@
     def release_deadline(self, since):
         """Latest time at which a lease or reservation that has been unused from `since` on has to be released.
 
-        The limit is extended only while no engine could be reached, because a release takes effect when its last byte
-        has reached a running engine. Failed connections of the node alone do not extend it.
+        A release takes effect when its last byte has reached a running engine. The limit is therefore extended by
+        periods in which no engine could be reached. Failed connections of the node alone do not extend it.
         """
         latest = since + self.deployment.pin_limit + LEASE_ALLOWANCE + LOGGING_SLACK
         for span in self.outages:
@@ -233,7 +237,8 @@
         return latest
 
     def lease_violations(self):
-        """State leases and reservations. A release has no effect while a decode engine waits for the state."""
+        """State leases and reservations that were released too late. While a decode engine waits for the state, a release
+        has no effect and is not counted."""
         for request_id, request, by_kind in self.requests():
             for lease in by_kind["held"] + by_kind["reserved"]:
                 since, violation = lease["t"], None
@@ -255,7 +260,7 @@
                     since = max(since, end)
                 if freed_at > self.release_deadline(since):
                     violation = violation or (since, freed_at)
-                # A killed node does not have to release what it held, unless that was overdue before the kill.
+                # A killed node need not release its leases and reservations, except those overdue before the kill.
                 if violation and not self.node_killed(
                     request["node"], request["t"], min(violation[1], self.release_deadline(violation[0]))
                 ):
--- a/soak/client.py
+++ b/soak/client.py
@@ -13,7 +13,7 @@
 from wire import DONE, EventLog
 
 CLASSES = [("chat", 0.6), ("keyed", 0.2), ("pay", 0.2)]
-CONCURRENT_REQUESTS = 8  # in flight at once in this process
+CONCURRENT_REQUESTS = 8  # requests that one client process keeps in flight
 WAIT_AFTER_DEADLINE = 3.0  # seconds that a client waits after its deadline, to tell a late response from a missing one
 
 
@@ -111,7 +111,7 @@
 
     @staticmethod
     def is_complete_stream(request_id, body):
-        """Whether the stream has all events of one engine for this request, in order and up to the end marker."""
+        """Whether the stream contains all events of this request, from one engine, in order, and the end marker."""
         events = [e for e in body.split(b"\n\n") if e]
         if not events or events[-1] + b"\n\n" != DONE:
             return False
--- a/soak/deployments.py
+++ b/soak/deployments.py
@@ -1,12 +1,12 @@
-"""The deployments that a soak can run with; the seed selects one. Their limits differ, so each finds other faults."""
+"""The deployments that a soak can run with; the seed selects one. Each has other limits and can find other faults."""
 
 import dataclasses
 import json
 import pathlib
 
 FILE_NAME = "deployment.json"
-MAX_DEADLINE_FOR_GRACE = 3.0  # seconds; a longer deadline does not delay SIGKILL any further
-KILL_AFTER_DEADLINE = 0.7  # seconds
+MAX_DEADLINE_FOR_GRACE = 3.0  # seconds; SIGKILL is not delayed further for deadlines longer than this
+KILL_AFTER_DEADLINE = 0.7  # seconds from the longest deadline (at most MAX_DEADLINE_FOR_GRACE) to SIGKILL
 
 
 @dataclasses.dataclass(frozen=True)
@@ -24,7 +24,7 @@
 
     @property
     def shutdown_grace(self):
-        """Seconds from SIGTERM to SIGKILL; the shortest period that is allowed."""
+        """Seconds from SIGTERM to SIGKILL: the shortest grace period that the platform may give a node."""
         return min(self.longest_deadline, MAX_DEADLINE_FOR_GRACE) + KILL_AFTER_DEADLINE
 
     def save(self, folder):
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A simulated discovery service. Each node has its own port, so that the log names the node that was notified.
+"""A simulated discovery service. Each node connects to its own port, which tells the log which node was notified.
 Commands are read from standard input, one JSON object per line.
 
 usage: discovery.py FOLDER PORTS-AND-ADDRESSES-AS-JSON
--- a/soak/engine.py
+++ b/soak/engine.py
@@ -16,7 +16,7 @@
     ("error", 0.03),  # status 500
     ("hang", 0.02),  # no response for 60 s
     ("reset", 0.02),  # the connection is reset
-    ("noise", 0.02),  # bytes that are not HTTP
+    ("noise", 0.02),  # the response is not HTTP
     ("absurd", 0.02),  # prefill: implausible numbers in the response
     ("stall", 0.01),  # decode: the stream pauses for 60 s after three events
     ("second", 0.02),  # prefill: a second response follows the first
--- a/soak/fault_shim.cpp
+++ b/soak/fault_shim.cpp
@@ -50,7 +50,7 @@
   return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-// The number of bytes that a call on a socket transfers: all, or a random part of them.
+// The number of bytes that a recv() or send() call is allowed to transfer: all, or a random part of them.
 std::size_t transferSize(std::size_t bytes) {
   const bool part = bytes > 1 && drawPerMille() < faultPlan().shortPerMille;
   return part ? 1 + drawPerMille() % (bytes - 1) : bytes;
@@ -62,8 +62,9 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// Delays the caller at random, by the fault plan. Stalls are spaced out: several in one iteration of the
-// event loop would exceed the delay that the requirements allow for.
+// Delays a call of send() at random, by the fault plan. Two stalls of a thread are at least kMinStallInterval
+// apart, because several stalls in one iteration of the event loop would exceed the delay that the
+// requirements allow for.
 void maybeStall() {
   static thread_local double lastStallEnd = 0;
   const FaultPlan& plan = faultPlan();
--- a/soak/fault_shim.h
+++ b/soak/fault_shim.h
@@ -1,14 +1,13 @@
 // Replaces system calls with versions that fail on purpose, with errors that Linux documents for them. It is
 // linked into a test, or preloaded into a process (LD_PRELOAD). A preloaded process reads its fault plan from
-// the file that the environment variable FAULT_PLAN names; another process may change it at any time.
+// the file that the environment variable FAULT_PLAN names; another process may change that file at any time.
 #pragma once
 
 #include <cstdint>
 
 namespace gannetcourse::soak {
 
-/// The faults of one system call: the errno, the share of calls that fail, and the number of failures that
-/// remain.
+/// How often one system call fails, and with which errno.
 struct FaultRule {
   std::int32_t error = 0;       // errno
   std::uint32_t perMille = 0;   // calls that fail, per 1000; 0 = none
@@ -32,7 +31,7 @@
 };
 constexpr std::uint32_t kFaultyCalls = static_cast<std::uint32_t>(FaultyCall::kCount);
 
-/// All faults of one process. It is shared between processes as memory, so it contains no pointers.
+/// All faults of one process. Contains no pointers, because several processes map the same plan into memory.
 struct FaultPlan {
   FaultRule rules[kFaultyCalls];
   std::uint32_t shortPerMille = 0;  // share of recv() and send() calls that transfer only part of their bytes
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -8,7 +8,7 @@
 import paths
 import shim
 
-CROWD_SIZE = 200  # connections; a node of the soak accepts at most 127 from clients
+CROWD_SIZE = 200  # connections; more than the 127 that a node of the soak accepts from clients
 MIN_UPTIME_BEFORE_RELOAD = 1.0  # seconds; the platform sends no SIGHUP in the first second after a start
 
 
@@ -18,7 +18,7 @@
     def __init__(self, fleet, schedule, seed):
         self.fleet, self.random, self.log = fleet, fleet.random, fleet.log
         self.run_after = schedule.run_after
-        self.clock_step = {n: 0 for n in fleet.nodes}  # milliseconds
+        self.clock_step = {n: 0 for n in fleet.nodes}  # milliseconds added to each node's wall clock
         self.crowds = 0
         self.changed_paths = set()  # engines whose paths a fault has changed
         self.kinds = self.weighted_kinds(seed)
@@ -38,7 +38,7 @@
         self.run_after(3, self.open_crowd)
 
     def weighted_kinds(self, seed):
-        """All kinds of fault; the seed selects a group of kinds that is repeated, so that they are drawn more often."""
+        """All kinds of fault. The seed selects kinds that are listed several times, to draw them more often."""
         kinds = [
             self.fail_system_calls,
             self.fail_system_calls,
@@ -96,7 +96,7 @@
             self.run_after(2, lambda: self.set_switches(node))
 
     def step_clock(self):
-        """Steps the wall clock of a node to 1 h behind the time, 1 h ahead of it, or back to the time."""
+        """Sets the wall clock of a node 1 h back, 1 h ahead, or to the correct time."""
         node = self.fleet.random_running_node()
         if node is not None:
             self.clock_step[node] = self.random.choice([-3600000, 0, 3600000])
@@ -198,7 +198,8 @@
         self.run_after(self.random.uniform(0.2, 2), restart)
 
     def stop_engine(self):
-        """Stops an engine's process with SIGSTOP and resumes it later. The kernel still accepts data for it."""
+        """Stops an engine's process with SIGSTOP and resumes it later. Meanwhile the kernel still accepts
+        connections and data for it."""
         engine = self.random.choice(list(self.fleet.roles))
         process = self.fleet.engine_process[engine]
         self.log.write("engine_stopped", engine=engine)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -22,8 +22,8 @@
 
 
 def reserve_ports(count):
-    """Binds sockets to ports that the kernel chooses. They never listen, but while they are open, no outgoing
-    connection gets one of the ports, so that a server can be restarted on the same port."""
+    """Binds sockets to ports that the kernel chooses. The sockets never listen. While they are open, the kernel gives
+    their ports to no outgoing connection, so a server can always be restarted on its port."""
     holders = []
     for _ in range(count):
         holder = socket.socket()
@@ -187,7 +187,7 @@
             "NODE_CONFIG": str(self.configuration_path(node)),
             "FAULT_PLAN": f"{self.folder}/{node}.faults",
             "LD_PRELOAD": f"{self.options.build}/{SHIM}",
-            "ASAN_OPTIONS": "verify_asan_link_order=0",  # the shim is loaded before an AddressSanitizer runtime
+            "ASAN_OPTIONS": "verify_asan_link_order=0",  # the preloaded shim precedes the AddressSanitizer runtime
         }
         log = open(f"{self.folder}/{node}.log", "a", encoding="utf-8")
         self.node_process[node] = subprocess.Popen(
@@ -216,7 +216,7 @@
             return False
 
     def random_running_node(self):
-        """A random running node; None unless more than half of the nodes are running."""
+        """A random running node; None if at most half of the nodes are running."""
         running = [n for n in self.nodes if self.node_process[n] is not None]
         return self.random.choice(running) if len(running) > NODES // 2 else None
 
@@ -225,7 +225,7 @@
         if process.poll() is None:
             self.log.write("sigkill", node=node)
             process.kill()
-        # SIGTERM may have arrived before the process had installed its handler.
+        # Ending by SIGTERM is allowed for a process that may not have installed its handler yet.
         just_started = signalled_at - self.started_at[node] < SIGNAL_SETUP_TIME
         allowed = (0, -signal.SIGKILL, *([-signal.SIGTERM] if just_started else []))
         if process.wait() not in allowed:
--- a/soak/paths.py
+++ b/soak/paths.py
@@ -2,9 +2,9 @@
 
 import collections
 
-# Proxy modes in which requests, responses or both do not arrive.
+# Modes of the fault proxy in which it does not forward requests, responses or both.
 SILENT_MODES = ("hold", "deaf", "mute")
-# Seconds for which an engine has to be reachable before a node is expected to have noticed it.
+# Seconds for which an engine has to be reachable before a node is expected to have detected that it is.
 DETECTION_TIME = 0.2
 
 
@@ -16,7 +16,7 @@
 
 
 def union(intervals):
-    """Sorts the intervals and merges those that overlap. Each has to have an end."""
+    """Sorts the intervals and merges those that overlap. All intervals must have an end."""
     merged = []
     for span in sorted(intervals):
         if merged and span.since <= merged[-1].until:
@@ -83,7 +83,7 @@
         return downs + stops
 
     def total_outages(self):
-        """Intervals in which no engine had been reachable for DETECTION_TIME."""
+        """Intervals in which each engine was unreachable or had become reachable less than DETECTION_TIME before."""
         detectable = []
         for spans in self.outages.values():
             detectable += [
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -18,7 +18,7 @@
 
 from wire import EventLog
 
-POLL_INTERVAL = 0.02  # seconds between two checks whether a path forwards data again
+POLL_INTERVAL = 0.02  # seconds between two checks whether the mode of a path allows data to be forwarded again
 SLOW_DELAY = 0.15  # seconds by which each piece of data is delayed
 REQUEST_HEAD = re.compile(rb"(POST|DELETE) \S+ HTTP/1\.1\r\n((?:[^\r]+\r\n)*)\r\n")
 CALL_ID = re.compile(rb"^X-Call-Id: ([^\r]+)\r", re.IGNORECASE | re.MULTILINE)
@@ -70,8 +70,8 @@
         return self.modes.get(engine) in ("hold", one_way_mode)
 
     async def copy_to_engine(self, source, connecting, route):
-        """Forwards data from a node to the engine once the connection to the engine is established, which may take a
-        second if its process is stopped. Requests are logged when the node sends them, not when they arrive."""
+        """Forwards data from a node to the engine once the connection to the engine is established. This may take a
+        second if the engine's process is stopped. Requests are logged when the node sends them, not on arrival."""
         try:
             while data := await source.read(1 << 16):
                 self.log_requests(data, route)
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -4,7 +4,7 @@
 
 
 class Schedule:
-    """Has no thread of its own: its owner has to call run_due() regularly."""
+    """Actions and the times at which they are due. There is no thread: the owner has to call run_due() regularly."""
 
     def __init__(self):
         self._due = []  # (monotonic time in seconds, action)
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -10,7 +10,7 @@
 SIZE = len(CALLS) * RULE.size + SWITCHES.size
 UNLIMITED = 0xFFFFFFFF
 
-# The system call faults that a run draws from: call, errno, failures per 1000 calls.
+# The faults of system calls, of which a run draws some: call, errno, failures per 1000 calls.
 FAULTS = [
     ("accept", errno.EMFILE, 500),
     ("accept", errno.ENOBUFS, 300),
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -23,7 +23,7 @@
 
 
 async def read_message(reader, has_body=True):
-    """Reads one message with a Content-Length. Raises IncompleteReadError if the connection ends before it does."""
+    """Reads one message with a Content-Length. Raises IncompleteReadError if the connection ends within the message."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     fields = {
--- a/tests/clients_test.cpp
+++ b/tests/clients_test.cpp
@@ -63,14 +63,15 @@
   net::Listener listener_;
 };
 
-// Guards against clients that ignore a second final response on the same stream, so that the audit misses it.
-TEST_F(ClientsTest, CountsASecondResponse) {
+// Guards against clients that ignore a second final response on the same stream, because the audit would miss
+// it.
+TEST_F(ClientsTest, CountsSecondResponseOnSameStream) {
   EXPECT_TRUE(answerFirstRequest(trailersOnly("14") + trailersOnly("14"),
                                  [&] { return ledger_.counts().secondResponses > 0; }));
 }
 
 // Guards against false alarms: a single final response must not count as a second one.
-TEST_F(ClientsTest, DoesNotCountASingleResponseAsSecond) {
+TEST_F(ClientsTest, CountsNoSecondResponseIfNodeRespondsOnce) {
   EXPECT_TRUE(answerFirstRequest(trailersOnly("14"), [&] { return ledger_.counts().rejected > 0; }));
   EXPECT_EQ(ledger_.counts().secondResponses, 0U);
 }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the audit: each violated rule increments its own count, and correct runs increment none.
+// Tests that the audit counts each violation in the count of its rule, and counts no violation in correct
+// runs.
 #include "ledger.h"
 
 #include <gtest/gtest.h>
@@ -49,8 +50,8 @@
   EXPECT_EQ(counts.served, 1u);
 }
 
-// Guards against an audit that misses a request without final response, one after its deadline, or a second
-// one.
+// Guards against an audit that misses a request without a final response, a response after the deadline, or a
+// second response to the same request.
 TEST_F(LedgerTest, CountsMissingLateAndDuplicateResponses) {
   for (const ClientAttemptId id : {16, 32, 48}) ledger.onClientAttemptStarted(id, 0, 1, 5, 20);
   receiveCompleteResponse(32, 5.5);
@@ -63,8 +64,9 @@
   EXPECT_FALSE(counts.clean());
 }
 
-// On a busy machine the lab reads responses late. That delay must not count against the node.
-TEST_F(LedgerTest, AcceptsLateResponseWithinTheLagOfItsLoop) {
+// On a busy machine the lab reads responses late. A response that is late by no more than this delay (the
+// lag) is not a violation by the node.
+TEST_F(LedgerTest, CountsNoLateResponseIfDelayIsWithinEventLoopLag) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
   for (std::uint32_t i = 0; i < answerLength(16, 20); ++i) ledger.onClientToken(16, i, answerText(16, i));
   ledger.onClientAttemptEnded(16, ClientEnd::kServed, 5.2, 0.3);
@@ -76,24 +78,25 @@
 TEST_F(LedgerTest, CountsDuplicateMissingAndWrongTokens) {
   for (const ClientAttemptId id : {16, 32, 48, 64}) ledger.onClientAttemptStarted(id, 0, 1, 5, 20);
   ledger.onClientToken(16, 0, answerText(16, 0));
-  ledger.onClientToken(16, 0, answerText(16, 0));  // twice
-  ledger.onClientToken(32, 1, answerText(32, 1));  // one missing
+  ledger.onClientToken(16, 0, answerText(16, 0));  // the token arrives twice
+  ledger.onClientToken(32, 1, answerText(32, 1));  // token 0 is missing
   ledger.onClientToken(48, 0, "something else");
-  ledger.onClientAttemptEnded(64, ClientEnd::kServed, 2, 0);  // none at all
+  ledger.onClientAttemptEnded(64, ClientEnd::kServed, 2, 0);  // served without any token
   for (const ClientAttemptId id : {16, 32, 48}) ledger.onClientAttemptEnded(id, ClientEnd::kFailed, 2, 0);
   EXPECT_EQ(ledger.finish(9).tokenFaults, 4u);
 }
 
 // Guards against an audit that ignores tokens of an attempt that has already ended.
-TEST_F(LedgerTest, CountsTokenAfterTheFinalStatus) {
+TEST_F(LedgerTest, CountsTokenThatArrivesAfterFinalResponse) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
   ledger.onClientAttemptEnded(16, ClientEnd::kFailed, 2, 0);
   ledger.onClientToken(16, 0, answerText(16, 0));
   EXPECT_EQ(ledger.finish(9).tokenFaults, 1u);
 }
 
-// Concurrent attempts are found with this list. Closed attempts and other requests must not be in it.
-TEST_F(LedgerTest, ReturnsOpenAttemptsOfTheSameRequestOnly) {
+// otherOpenAttempts() is used to find concurrent attempts. Closed attempts and attempts of other requests in
+// its result would cause false alarms.
+TEST_F(LedgerTest, OtherOpenAttemptsOmitsClosedAttemptsAndOtherRequests) {
   ledger.onClientAttemptStarted(16, 0, 1, 5, 20);
   const auto one = ledger.onEngineAttemptOpened(prefillEngine, "n", "r1", 16, 1);
   const auto two = ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1.1);
@@ -104,9 +107,10 @@
   EXPECT_TRUE(ledger.otherOpenAttempts(two).empty());
 }
 
-// A repeated effect is a violation if the class is at-most-once, or if the idempotency key does not cover the
-// second engine or has expired. Otherwise it is allowed.
-TEST_F(LedgerTest, CountsRepeatedEffectsByIdempotencyOfTheClass) {
+// An effect is the start of a response's generation. A second effect of one request is a violation if its
+// class is at-most-once, or if the idempotency key does not cover the second engine or has expired. Otherwise
+// it is allowed.
+TEST_F(LedgerTest, CountsRepeatedEffectOnlyIfClassForbidsIt) {
   const auto countDuplicates = [&](std::size_t classIndex, ClientAttemptId id,
                                    const Ledger::EngineInfo& secondEngine, double delay) {
     ledger.onClientAttemptStarted(id, classIndex, 1, 50, 20);
@@ -126,9 +130,9 @@
   EXPECT_EQ(countDuplicates(2, 80, decodeEngine, 6), 1u);     // with a key, after the dedup window
 }
 
-// A retry by the client has another attempt id, but belongs to the same request: ids 16 and 17 share
-// number 1.
-TEST_F(LedgerTest, CountsRepeatedEffectOfAClientsRetry) {
+// A retry by the client has another attempt id, but belongs to the same request: the ids 16 and 17 are
+// attempts 0 and 1 of request 1.
+TEST_F(LedgerTest, CountsRepeatedEffectIfClientRetryRunsAgain) {
   ledger.onClientAttemptStarted(16, 1, 1, 50, 20);
   ledger.onClientAttemptStarted(17, 1, 2, 50, 20);
   const auto first = ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1);
@@ -138,11 +142,12 @@
   EXPECT_EQ(ledger.counts().duplicateEffects, 1u);
 }
 
-// A node may use a draining engine during the grace, and as long as the registry has not notified it.
-TEST_F(LedgerTest, CountsAttemptsAfterTheDrainGraceOfNotifiedNodesOnly) {
+// A node may send attempts to a draining engine until the registry notifies the node, and during the grace
+// after that.
+TEST_F(LedgerTest, CountsAttemptsAfterDrainGraceOnlyForNodesThatWereNotified) {
   ledger.onNotifiedNotServing("n", 1, 10);
   ledger.onEngineAttemptOpened(prefillEngine, "n", "r1", 16, 10.4);
-  ledger.onEngineAttemptOpened(prefillEngine, "m", "r2", 16, 12);  // was never notified
+  ledger.onEngineAttemptOpened(prefillEngine, "m", "r2", 16, 12);  // node m was never notified
   EXPECT_EQ(ledger.counts().afterDrain, 0u);
   ledger.onEngineAttemptOpened(prefillEngine, "n", "r3", 16, 10.7);
   EXPECT_EQ(ledger.counts().afterDrain, 1u);
@@ -151,9 +156,9 @@
   EXPECT_EQ(ledger.counts().afterDrain, 1u);
 }
 
-// Only time without an open attempt counts towards the lease limit, and states of an unreachable engine are
-// exempt.
-TEST_F(LedgerTest, CountsStatesHeldWithoutAttemptBeyondTheLeaseLimit) {
+// Only time without an open attempt of the request counts towards the lease limit. States of a silent engine
+// are exempt, because no release can reach it.
+TEST_F(LedgerTest, CountsStateHeldBeyondLeaseLimitWithoutOpenAttempt) {
   ledger.onStateCreated(prefillEngine, "r1", "a", 1);
   ledger.onStateReleased("a", 1.9);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 0u);
@@ -166,12 +171,13 @@
   ledger.onStateReleased("c", 2.3);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 1u);
   ledger.onStateCreated(prefillEngine, "r4", "d", 1);
-  ledger.onEngineSilent(1);  // no release can reach it
+  ledger.onEngineSilent(1);  // no release can reach engine 1
   ledger.onStateReleased("d", 9);
   EXPECT_EQ(ledger.counts().expiredStateLeases, 1u);
 }
 
-// Guards against a leak that no later event reveals: finish() must report what is still open.
+// Guards against leaks that no later event reveals: finish() must report attempts and states that are still
+// open.
 TEST_F(LedgerTest, CountsAttemptsAndStatesLeftOpenAtTheEnd) {
   ledger.onEngineAttemptOpened(decodeEngine, "n", "r1", 16, 1);
   ledger.onStateCreated(prefillEngine, "r2", "a", 1);
@@ -179,7 +185,7 @@
 }
 
 // An overload in slow start is a violation only if the nodes that caused it had been notified of the start.
-TEST_F(LedgerTest, CountsSlowStartOverloadOnlyIfNodesWereNotified) {
+TEST_F(LedgerTest, CountsSlowStartOverloadOnlyIfNodesWereNotifiedOfTheStart) {
   ledger.onEngineStarted(1, 10);
   for (int i = 0; i < 6; ++i) EXPECT_FALSE(ledger.onSlowStartLoad(1, "n", 1, 1, 10.1 + 0.01 * i));
   // The limit is 2.5 * 1 request per second * 2 s + 2 (slack) = 7 requests; the 8th overloads the engine.
--- a/tests/soak_audit_test.py
+++ b/tests/soak_audit_test.py
@@ -83,7 +83,7 @@
 
 
 def run_released_just_before_attempt_ends():
-    """A decode attempt lasts longer than the lease limit, and the release is logged just before the attempt ends."""
+    """A decode attempt that exceeds the lease limit. The release is logged just before the attempt ends."""
     return without(clean_run(), "took", "started", "ended", "responded") + [
         event(10.1, "r0", "ended", id="a", role="prefill", complete=True),
         event(12.001, "w0", "released", id="a"),
@@ -224,7 +224,7 @@
         found = [line for line in find_violations(events) if " out at " in line]
         if bool(found) != violates:
             failures.append(f"{name}: {found}")
-    for after in (0.3, 1.5):  # 0.3: deadline before the kill; 1.5: accepted too late to be excused
+    for after in (0.3, 1.5):  # 0.3: deadline before the kill; 1.5: sent too late to be excused
         if not any(line.startswith("lost") for line in find_violations(run_killed_after_sigterm(after))):
             failures.append(f"not reported: request {after} s after SIGTERM that got no response")
     killed = find_violations(without(clean_run(), "started", "responded") + [event(10.5, "soak", "sigkill", node="n0")])
