--- a/soak/audit.py
+++ b/soak/audit.py
@@ -237,7 +237,7 @@
         return latest
 
     def lease_violations(self):
-        """State leases and reservations that were released too late. While a decode engine waits for the state, a release
+        """State leases and reservations released too late. While a decode engine waits for the state, a release
         has no effect and is not counted."""
         for request_id, request, by_kind in self.requests():
             for lease in by_kind["held"] + by_kind["reserved"]:
