--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are admitted at one router, and which are shed.
+// Admission control at one router: which requests are admitted, held or rejected.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -6,127 +6,133 @@
 namespace gannetcourse::test {
 namespace {
 
-TEST(AdmissionControl, ALongQueueKeepsRequestsHereAndThenRejectsThem) {
+// Guards against queues at engines that grow without limit, and against requests that are held too long.
+TEST(AdmissionControl, HoldsRequestsWhenTheQueueIsLongAndRejectsThemAtHalfTheirObjective) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   for (int i = 0; i < 20; ++i) host.request(1.1, "r" + std::to_string(i), 2000);
-  const std::size_t out = only<StartAttempt>(host.all).size();
-  EXPECT_GE(out, 1U);
-  EXPECT_LE(out, 4U);
-  EXPECT_EQ(only<RejectRequest>(host.runUntil(1.9)).size(), 20 - out)
-      << "none stays past half of its objective";
+  const std::size_t started = actionsOf<StartAttempt>(host.allActions).size();
+  EXPECT_GE(started, 1U);
+  EXPECT_LE(started, 4U);
+  EXPECT_EQ(actionsOf<RejectRequest>(host.runUntil(1.9)).size(), 20 - started)
+      << "no request is held for longer than half of its objective";
 }
 
-// A hung or slow engine must not keep out requests that go to other engines.
-TEST(AdmissionControl, HungAttemptsDoNotCountAsAQueueElsewhere) {
+// The prompt tokens of an attempt at a hung engine are queued there only; with 100 routers they must not look
+// like a queue at the other engines, which would keep requests from being admitted to those.
+TEST(AdmissionControl, AdmitsRequestToAnotherEngineWhileAnAttemptIsHung) {
   Settings settings = twoStageSettings();
   settings.routerCount = 100;
   PolicyHost host(settings);
   std::vector<EngineEntry> entries = {engineEntry(99, Role::kDecode)};
   for (std::uint32_t id = 1; id <= 10; ++id) entries.push_back(engineEntry(id, Role::kPrefill));
-  host.engineList(1, entries);
-  ASSERT_NE(sentTo(host.feed(1.1, requestOf("hung", 3000, 1))), 0U);
-  host.runUntil(1.4);  // silent, not yet cancelled
-  EXPECT_NE(sentTo(host.feed(1.41, requestOf("next", 1000, 2))), 0U);
+  host.updateEngineList(1, entries);
+  ASSERT_NE(selectedEngine(host.feed(1.1, makeRequest("hung", 3000, 1))), 0U);
+  host.runUntil(1.4);  // the attempt has no response, but is not cancelled yet
+  EXPECT_NE(selectedEngine(host.feed(1.41, makeRequest("next", 1000, 2))), 0U);
 }
 
-// The headroom of a class with a higher weight keeps queues short; a long prompt that finds none takes
-// nobody's.
-TEST(AdmissionControl, ALongPromptIsAdmittedWhileNothingQueues) {
-  for (const bool marked : {false, true}) {
+// The objective of a class with a higher priority weight limits the queues of the other classes. It must not
+// reject a long prompt while no engine has a queue: that prompt delays no other request. A client's retry is
+// treated as over quota and has no such exemption.
+TEST(AdmissionControl, AdmitsLongPromptWhenNothingIsQueued) {
+  for (const bool isRetry : {false, true}) {
     Settings settings = twoStageSettings();
     settings.classes.push_back(settings.classes[0]);
     settings.classes[1].ttftObjective = Duration(4);
     settings.classes[0].priorityWeight = 3;
     PolicyHost host(settings);
-    host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+    host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
     RequestArrived r =
-        requestOf("long", 12000, 1);  // 1.2 s of prefill: over half of the other class's objective
+        makeRequest("long", 12000, 1);  // 1.2 s of prefill, over half of the other class's objective
     r.classIndex = 1;
     r.timeUntilDeadline = Duration(10);
-    r.isRetry = marked;
-    EXPECT_EQ(sentTo(host.feed(1.1, r)), marked ? 0U : 1U);
-    if (marked) continue;
-    EXPECT_EQ(sentTo(host.feed(1.12, requestOf("behind", 9000, 2))), 0U) << "that one would queue";
+    r.isRetry = isRetry;
+    EXPECT_EQ(selectedEngine(host.feed(1.1, r)), isRetry ? 0U : 1U);
+    if (isRetry) continue;
+    EXPECT_EQ(selectedEngine(host.feed(1.12, makeRequest("behind", 9000, 2))), 0U)
+        << "it would wait in the queue";
   }
 }
 
-// In a queue the headroom is judged by the mean prompt, and a longer one gets its prefill beyond that in
-// addition: else overload would shed just the long ones.
-TEST(AdmissionControl, ALongPromptIsNotTheFirstToBeShedInAQueue) {
+// The headroom limits queueing time. The prefill time of a prompt beyond that of a usual prompt is added to
+// it; without that, overload would reject only the long prompts.
+TEST(AdmissionControl, AdmitsLongPromptLikeAShortOneWhenAnotherIsQueued) {
   for (const double prompt :
-       {1000.0, 18000.0}) {  // a quarter of it is not cached: 0.48 s of an objective of 1 s
+       {1000.0, 18000.0}) {  // a quarter is uncached: 0.48 s of prefill, of an objective of 1 s
     PolicyHost host(twoStageSettings());
-    host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
-    for (int i = 0; i < 4; ++i) {  // 100 tokens each are the mean prefill
+    host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+    for (int i = 0; i < 4; ++i) {  // makes 100 the mean number of uncached tokens
       const std::string id = "usual" + std::to_string(i);
-      host.feed(1.1 + 0.1 * i, requestOf(id, 100, 10 + static_cast<std::uint64_t>(i)));
+      host.feed(1.1 + 0.1 * i, makeRequest(id, 100, 10 + static_cast<std::uint64_t>(i)));
       host.attemptEnded(1.14 + 0.1 * i, id, 1, Outcome::kPrefilled);
       host.streamStarted(1.15 + 0.1 * i, id, 2);
     }
-    ASSERT_EQ(sentTo(host.feed(1.6, requestOf("ahead", 1500, 1))), 1U);  // prefilled first
-    EXPECT_EQ(sentTo(host.feed(1.61, requestOf("next", prompt, 2))), 1U) << prompt;
+    ASSERT_EQ(selectedEngine(host.feed(1.6, makeRequest("ahead", 1500, 1))), 1U);  // in the queue before it
+    EXPECT_EQ(selectedEngine(host.feed(1.61, makeRequest("next", prompt, 2))), 1U) << prompt;
   }
 }
 
-// First tokens came after the objective lately: nothing more is prefilled until that is over.
-TEST(AdmissionControl, AdmitsByTheExpectedFirstToken) {
+// The latest first token came after the objective because the decode engine was slow. Admission has to count
+// that wait: a prefill now would be wasted on a first token that is late again.
+TEST(AdmissionControl, RejectsRequestWhenItsFirstTokenIsExpectedTooLate) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "slow", 100);
   host.attemptEnded(1.15, "slow", 1, Outcome::kPrefilled);
   host.runUntil(2.1);
-  host.streamStarted(2.12, "slow", 2);  // a decode engine's wait of about 1 s against an objective of 1 s
+  host.streamStarted(2.12, "slow", 2);  // a wait of about 1 s at the decode engine; the objective is 1 s
   host.doHousekeeping(2.14);
-  EXPECT_EQ(sentTo(host.request(2.15, "b", 100)), 0U);
-  const auto rejected = only<RejectRequest>(host.runUntil(2.8));
-  ASSERT_EQ(rejected.size(), 1U) << "answered at half of its objective";
+  EXPECT_EQ(selectedEngine(host.request(2.15, "b", 100)), 0U);
+  const auto rejected = actionsOf<RejectRequest>(host.runUntil(2.8));
+  ASSERT_EQ(rejected.size(), 1U) << "it is rejected at half of its objective";
 }
 
-TEST(AdmissionControl, ATenantOverItsQuotaGivesWayFirst) {
+// Guards against a tenant over its quota that gets as much as a tenant within it when engines are busy.
+TEST(AdmissionControl, AdmitsFewerRequestsOfATenantOverItsQuota) {
   Settings settings = twoStageSettings();
   settings.tenants = {{0.5, 0.01}, {0.5, 100.0}};
   PolicyHost host(settings);
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
-  // The decode engine took 0.27 s to a first token: requests within their quota may wait for that (up to half
-  // of the objective), those over it may not (a fifth).
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  // The decode engine took 0.27 s to send a first token. That is within the limit for requests within quota
+  // (half of the objective), but not within the limit for those over quota (a fifth of it).
   host.request(1.01, "slow", 100);
   host.attemptEnded(1.02, "slow", 1, Outcome::kPrefilled);
   host.streamStarted(1.29, "slow", 2);
   host.doHousekeeping(1.295);
-  for (int i = 0; i < 8; ++i) {  // the first tenant may have one now
+  for (int i = 0; i < 8; ++i) {  // the quota of the first tenant allows one request now
     for (std::size_t tenant : {0U, 1U}) {
-      RequestArrived r = requestOf((tenant == 0 ? "beyond" : "within") + std::to_string(i), 100, 0);
+      RequestArrived r = makeRequest((tenant == 0 ? "over" : "within") + std::to_string(i), 100, 0);
       r.tenant = tenant;
       host.feed(1.3, r);
     }
   }
   host.doHousekeeping(1.32);
-  int beyond = 0, within = 0;
-  for (const StartAttempt& send : only<StartAttempt>(host.all)) {
-    beyond += send.id.value.rfind("beyond", 0) == 0;
-    within += send.id.value.rfind("within", 0) == 0;
+  int overQuota = 0, withinQuota = 0;
+  for (const StartAttempt& start : actionsOf<StartAttempt>(host.allActions)) {
+    overQuota += start.id.value.rfind("over", 0) == 0;
+    withinQuota += start.id.value.rfind("within", 0) == 0;
   }
-  EXPECT_LE(beyond, 1);
-  EXPECT_GT(within, beyond);
+  EXPECT_LE(overQuota, 1);
+  EXPECT_GT(withinQuota, overQuota);
 }
 
-// With hundreds of routers a tenant's part at one of them is one request in many seconds; two that come
-// together are chance, not a tenant over its quota.
-TEST(AdmissionControl, ChanceAtOneOfManyRoutersPutsNoTenantOverItsQuota) {
+// With 150 routers, a tenant's quota at each of them is less than one request per second. Two requests that
+// reach one router together are chance and must not count as over quota.
+TEST(AdmissionControl, AdmitsTwoSimultaneousRequestsOfATenantAtOneOfManyRouters) {
   Settings settings = twoStageSettings();
   settings.routerCount = 150;
   settings.tenants = {{0.07, 20.0}};
   PolicyHost host(settings);
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.01, "slow", 100);
   host.attemptEnded(1.02, "slow", 1, Outcome::kPrefilled);
-  host.streamStarted(1.29, "slow", 2);  // requests over a quota wait for that, those within it do not
+  host.streamStarted(1.29, "slow", 2);  // requests over quota would be held for this delay
   host.doHousekeeping(1.295);
   for (const std::string id : {"a", "b"}) {
-    RequestArrived r = requestOf(id, 100, 0);
+    RequestArrived r = makeRequest(id, 100, 0);
     r.tenant = 0;
-    EXPECT_NE(sentTo(host.feed(1.3, r)), 0U) << id;
+    EXPECT_NE(selectedEngine(host.feed(1.3, r)), 0U) << id;
   }
 }
 
--- a/tests/decode_selector_test.cpp
+++ b/tests/decode_selector_test.cpp
@@ -1,4 +1,4 @@
-// The choice of a decode engine, with figures worked out by hand.
+// Selection of decode engines; the expected choices follow from costs computed by hand.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -6,66 +6,69 @@
 namespace gannetcourse::test {
 namespace {
 
-TEST(DecodeSelector, SelectsInThePrefillEnginesCellAfterThePrefill) {
+TEST(DecodeSelector, SelectsEngineInThePrefillEnginesCell) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
-                      engineEntry(3, Role::kDecode, 0)});
-  EXPECT_EQ(sentTo(host.request(1.1, "a")), 1U);
-  EXPECT_TRUE(only<Reserve>(host.all).empty());
-  // 1,000 tokens: 5 ms inside the cell against 20 ms and the cost of leaving it.
-  EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 3U);
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
+                            engineEntry(3, Role::kDecode, 0)});
+  EXPECT_EQ(selectedEngine(host.request(1.1, "a")), 1U);
+  EXPECT_TRUE(actionsOf<Reserve>(host.allActions).empty());
+  // Transferring 1,000 tokens costs 5 ms within the cell, or 20 ms plus the distance cost out of it.
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 3U);
 }
 
-TEST(DecodeSelector, AFullEngineYieldsToTheNextCell) {
+TEST(DecodeSelector, SelectsEngineInAnotherCellWhenMemoryIsFull) {
   Settings settings = twoStageSettings();
   settings.loadReportSource = LoadReportSource::kProbes;
   settings.probesAllowed = true;
   PolicyHost host(settings);
-  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
-                      engineEntry(3, Role::kDecode, 0)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 1),
+                            engineEntry(3, Role::kDecode, 0)});
   LoadReport full;
   full.memoryUtilization = 0.998;
   host.feed(1.05, ProbeEnded{{3}, Outcome::kOk, Duration(0.001), full});
   host.request(1.1, "a");
-  EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
 }
 
-// An engine that has slowed down still gives first tokens in time; that its streams do not end shows it.
-TEST(DecodeSelector, AnEngineWhoseStreamsDoNotEndYields) {
+// A decode engine that has slowed down may still send first tokens in time. It has to be recognized by its
+// streams, which do not end.
+TEST(DecodeSelector, AvoidsEngineWhoseStreamsDoNotEnd) {
   PolicyHost host(twoStageSettings());
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   double at = 1.1;
-  int toSlow = 0, toOther = 0;
+  int atSlow = 0, atOther = 0;
   for (int i = 0; i < 60; ++i, at += 0.4) {
     const std::string id = "s" + std::to_string(i);
-    const std::uint32_t prefillEngine = sentTo(host.request(at, id, 200));
+    const std::uint32_t prefillEngine = selectedEngine(host.request(at, id, 200));
     const std::uint32_t decodeEngine =
-        sentTo(host.attemptEnded(at + 0.02, id, prefillEngine, Outcome::kPrefilled));
+        selectedEngine(host.attemptEnded(at + 0.02, id, prefillEngine, Outcome::kPrefilled));
     host.streamStarted(at + 0.04, id, decodeEngine);
     if (decodeEngine == 3)
       host.attemptEnded(at + 0.3, id, decodeEngine, Outcome::kOk,
-                        true);  // those of decode engine 2 never end
+                        true);  // streams at decode engine 2 never end
     host.runUntil(at + 0.39);
-    if (i >= 30) (decodeEngine == 2 ? toSlow : toOther) += 1;
+    if (i >= 30) (decodeEngine == 2 ? atSlow : atOther) += 1;
   }
-  EXPECT_LE(toSlow, 2);
-  EXPECT_GE(toOther, 28);
+  EXPECT_LE(atSlow, 2);
+  EXPECT_GE(atOther, 28);
 }
 
-// To a router that has just started only short streams have ended: that makes no engine slow and excludes
-// none.
-TEST(DecodeSelector, ShortStreamsFirstMakeNoEngineSlow) {
+// At a router that has just started, only short streams have ended so far. The longer ones in flight must not
+// make every engine look slow, so that none is left for selection.
+TEST(DecodeSelector, KeepsEnginesInSelectionWhenOnlyShortStreamsHaveEnded) {
   PolicyHost host(twoStageSettings());
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   double at = 1.1;
   for (int i = 0; i < 40; ++i, at += 0.1) {
     const std::string id = "s" + std::to_string(i);
-    ASSERT_EQ(sentTo(host.request(at, id, 200)), 1U) << "request " << i;
-    const std::uint32_t decodeEngine = sentTo(host.attemptEnded(at + 0.02, id, 1, Outcome::kPrefilled));
+    ASSERT_EQ(selectedEngine(host.request(at, id, 200)), 1U) << "request " << i;
+    const std::uint32_t decodeEngine =
+        selectedEngine(host.attemptEnded(at + 0.02, id, 1, Outcome::kPrefilled));
     host.streamStarted(at + 0.04, id, decodeEngine);
-    if (i < 4) host.attemptEnded(at + 0.06, id, decodeEngine, Outcome::kOk, true);  // the others go on
+    if (i < 4)
+      host.attemptEnded(at + 0.06, id, decodeEngine, Outcome::kOk, true);  // the other streams continue
     host.runUntil(at + 0.09);
   }
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,5 @@
-// What many routers do to engines together: restarted ones, silent ones, calm days.
+// Effects of many routers on the engines that they share: after restarts, with silent engines, and at
+// moderate load.
 #include <ostream>
 
 #include "fleet_model.h"
@@ -11,12 +12,14 @@
   FleetPlan plan;
 };
 
-// Tests are named by it. NOLINTNEXTLINE(readability-identifier-naming): the test library looks for this name
+// Names the test cases. NOLINTNEXTLINE(readability-identifier-naming): GoogleTest requires this name
 void PrintTo(const SlowStartCase& given, std::ostream* out) { *out << given.name; }
 
+// Engines in slow start must not be overloaded by the sum of all routers, none of which knows of the others'
+// attempts.
 class WarmingEngines : public ::testing::TestWithParam<SlowStartCase> {};
 
-TEST_P(WarmingEngines, BearTheSumOfAllRouters) {
+TEST_P(WarmingEngines, AreNotOverloadedByAllRoutersTogether) {
   double worstOverload = 0;
   std::size_t attempts = 0;
   const std::uint64_t seeds = GetParam().plan.routers > 100 ? 1 : 3;
@@ -28,22 +31,23 @@
     fleet.restartEngines();
     fleet.run(40);
     worstOverload = std::max(worstOverload, fleet.worstOverload());
-    attempts += fleet.attemptsAtRestarted();
+    attempts += fleet.attemptsAtRestartedEngines();
     RecordProperty("worst", std::to_string(worstOverload));
   }
   std::printf("%s: worst %.2f, attempts at restarted %zu\n", GetParam().name, worstOverload, attempts);
   EXPECT_LE(worstOverload, 1);
-  EXPECT_GT(attempts, 0U);  // a budget that allows nothing would keep the rule trivially
+  EXPECT_GT(attempts, 0U);  // a budget that allows no attempts would meet the bound trivially
 }
 
-FleetPlan planOf(int routers, double imbalance, double burst, int restarted, bool restart) {
+FleetPlan planOf(int routers, double imbalance, double burstFactor, int restartedPerRole,
+                 bool routersRestart) {
   FleetPlan plan;
   plan.routers = routers;
   plan.imbalance = imbalance;
-  plan.burst = burst;
-  plan.restarted = restarted;
-  plan.routersRestart = restart;
-  if (routers >= 300) plan.engines = 30;
+  plan.burstFactor = burstFactor;
+  plan.restartedPerRole = restartedPerRole;
+  plan.routersRestart = routersRestart;
+  if (routers >= 300) plan.enginesPerRole = 30;
   return plan;
 }
 
@@ -61,26 +65,26 @@
                       SlowStartCase{"three_hundred_restarted", planOf(300, 3, 1.5, 6, true)}),
     [](const auto& given) { return std::string(given.param.name); });
 
-// Four in five engines of one role answer nothing, three times: every request has its response in time, and
-// no overload stays afterwards.
-TEST(SilentEngines, LeaveNoRequestWithoutAResponseAndNoOverload) {
+// Four of five engines of one role stop answering for 3 s, three times. Guards against requests without a
+// response and against an overload by retries that persists after the engines answer again.
+TEST(SilentEngines, LeaveNoRequestUnansweredAndNoLastingOverload) {
   for (const Role role : {Role::kPrefill, Role::kDecode}) {
     for (const int routers : {3, 30}) {
       FleetPlan plan;
       plan.routers = routers;
-      plan.engines = 10;
+      plan.enginesPerRole = 10;
       plan.load = 0.3;
-      plan.restarted = 0;
+      plan.restartedPerRole = 0;
       Fleet fleet(plan);
       fleet.run(8);
-      for (int time = 0; time < 3; ++time) {
+      for (int round = 0; round < 3; ++round) {
         fleet.silenceEngines(role, 8);
-        fleet.run(11.0 + 6 * time);
+        fleet.run(11.0 + 6 * round);
         fleet.silenceEngines(role, 0);
-        fleet.run(14.0 + 6 * time);
+        fleet.run(14.0 + 6 * round);
       }
-      fleet.run(36);  // the last silence ended at 23
-      EXPECT_EQ(fleet.openFor(5), 0U);
+      fleet.run(36);  // the engines answer again from 23 s on
+      EXPECT_EQ(fleet.requestsOpenLongerThan(5), 0U);
       EXPECT_LE(fleet.slowestResponse(), 4);  // the clients' deadline
       const std::size_t served = fleet.served(), rejected = fleet.rejected();
       fleet.run(42);
@@ -91,12 +95,12 @@
   }
 }
 
-// On a calm day no router rejects anything.
-TEST(CalmFleets, ServeAtEveryRouter) {
+// At moderate load without faults, no router may reject a request.
+TEST(CalmFleets, ServeAllRequests) {
   for (const int routers : {3, 30}) {
     FleetPlan plan;
     plan.routers = routers;
-    plan.restarted = 0;
+    plan.restartedPerRole = 0;
     Fleet fleet(plan);
     fleet.run(30);
     EXPECT_EQ(fleet.rejected(), 0U) << routers;
@@ -104,13 +108,13 @@
   }
 }
 
-// Nothing depends on one deployment's size: objectives, work and prompts of other lengths.
-TEST(CalmFleets, ServeWhateverTheScale) {
+// Guards against constants that fit one deployment only: objectives, service times and prompts are scaled.
+TEST(CalmFleets, ServeNearlyAllRequestsAtAnyScaleOfTimesAndPrompts) {
   for (const double timeScale : {0.4, 1.0, 3.0}) {
     for (const double promptScale : {0.3, 1.0, 6.0}) {
       FleetPlan plan;
       plan.routers = 5;
-      plan.restarted = 0;
+      plan.restartedPerRole = 0;
       plan.timeScale = timeScale;
       plan.promptScale = promptScale;
       Fleet fleet(plan);
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// A host for one Policy without I/O: feeds events, keeps the actions of the last event and of all events.
+// A host for one Policy in virtual time and without I/O, and helpers to make its events and read its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -42,28 +42,31 @@
   return e;
 }
 
+/// Owns a Policy, feeds it events and records the actions it returns. Times are seconds since the epoch.
 class PolicyHost {
  public:
   explicit PolicyHost(const Settings& settings) : policy(settings) {}
 
+  /// Passes the event to the policy at the given time; returns the actions of this event.
   std::vector<Action>& feed(double at, const Event& event) {
     now = at;
-    last.clear();
-    policy.handle(Instant(Duration(at)), event, last);
-    all.insert(all.end(), last.begin(), last.end());
-    return last;
+    lastActions.clear();
+    policy.handle(Instant(Duration(at)), event, lastActions);
+    allActions.insert(allActions.end(), lastActions.begin(), lastActions.end());
+    return lastActions;
   }
 
-  std::vector<Action>& engineList(double at, std::vector<EngineEntry> entries,
-                                  EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot) {
+  std::vector<Action>& updateEngineList(double at, std::vector<EngineEntry> entries,
+                                        EngineListUpdate::Scope scope = EngineListUpdate::Scope::kSnapshot) {
     return feed(at, EngineListUpdate{scope, std::move(entries)});
   }
 
-  std::vector<Action>& request(double at, const std::string& id, double prompt = 1000, double timeLeft = 4) {
+  std::vector<Action>& request(double at, const std::string& id, double promptTokens = 1000,
+                               double secondsUntilDeadline = 4) {
     RequestArrived r;
     r.id = {id};
-    r.timeUntilDeadline = Duration(timeLeft);
-    r.promptTokens = prompt;
+    r.timeUntilDeadline = Duration(secondsUntilDeadline);
+    r.promptTokens = promptTokens;
     r.maxOutputTokens = 300;
     return feed(at, r);
   }
@@ -86,64 +89,67 @@
 
   std::vector<Action>& doHousekeeping(double at) { return feed(at, TimerFired{"sweep"}); }
 
-  /// Fires the housekeeping timer every 20 ms up to `until`; gives all actions of that time.
+  /// Fires the housekeeping timer every 20 ms until `until`; returns the actions of all these events.
   std::vector<Action> runUntil(double until) {
-    std::vector<Action> seen;
+    std::vector<Action> actions;
     while (now + 0.02 <= until) {
       doHousekeeping(now + 0.02);
-      seen.insert(seen.end(), last.begin(), last.end());
+      actions.insert(actions.end(), lastActions.begin(), lastActions.end());
     }
-    return seen;
+    return actions;
   }
 
   double now = 0;
   Policy policy;
-  std::vector<Action> last, all;
+  std::vector<Action> lastActions;  ///< Of the last event.
+  std::vector<Action> allActions;   ///< Of all events, unless a test has cleared it.
 };
 
+/// The actions of type T, in their order.
 template <typename T>
-std::vector<T> only(const std::vector<Action>& actions) {
+std::vector<T> actionsOf(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& a : actions) {
-    if (const T* one = std::get_if<T>(&a)) found.push_back(*one);
+    if (const T* action = std::get_if<T>(&a)) found.push_back(*action);
   }
   return found;
 }
 
-/// The engine of the only attempt started by the actions; 0 where there is not exactly one.
-inline std::uint32_t sentTo(const std::vector<Action>& actions) {
-  const auto sends = only<StartAttempt>(actions);
-  return sends.size() == 1 ? sends[0].engine.value : 0;
+/// The engine of the attempt that the actions start; 0 if they start none or more than one.
+inline std::uint32_t selectedEngine(const std::vector<Action>& actions) {
+  const auto starts = actionsOf<StartAttempt>(actions);
+  return starts.size() == 1 ? starts[0].engine.value : 0;
 }
 
-inline RequestArrived requestOf(const std::string& id, double prompt, std::uint64_t session,
-                                std::uint64_t prefix = 0, double shared = 0) {
+/// A request with a deadline in 4 s. A key of 0 means no session or no shared prefix.
+inline RequestArrived makeRequest(const std::string& id, double promptTokens, std::uint64_t sessionKey,
+                                  std::uint64_t prefixKey = 0, double prefixTokens = 0) {
   RequestArrived r;
   r.id = {id};
   r.timeUntilDeadline = Duration(4);
-  r.promptTokens = prompt;
-  r.sessionKey = session;
-  r.prefixKey = prefix;
-  r.prefixTokens = shared;
+  r.promptTokens = promptTokens;
+  r.sessionKey = sessionKey;
+  r.prefixKey = prefixKey;
+  r.prefixTokens = prefixTokens;
   r.maxOutputTokens = 300;
   return r;
 }
 
-/// A request of a session, with time for several attempts.
-inline RequestArrived requestOfSession(const std::string& id, std::uint64_t session) {
+/// A request of a session whose deadline (6 s) allows several attempts.
+inline RequestArrived makeSessionRequest(const std::string& id, std::uint64_t sessionKey) {
   RequestArrived r;
   r.id = {id};
   r.timeUntilDeadline = Duration(6);
-  r.sessionKey = session;
+  r.sessionKey = sessionKey;
   r.promptTokens = 1000;
   return r;
 }
 
-/// Serves a request to its end on the engines that the policy selects; gives the prefill engine.
-inline std::uint32_t serveToEnd(PolicyHost& host, double at, const RequestArrived& r,
-                                double cachedTokens = 0) {
-  const std::uint32_t prefillEngine = sentTo(host.feed(at, r));
-  const std::uint32_t decodeEngine = sentTo(
+/// Completes a request on the engines that the policy selects; returns the prefill engine.
+inline std::uint32_t completeRequest(PolicyHost& host, double at, const RequestArrived& r,
+                                     double cachedTokens = 0) {
+  const std::uint32_t prefillEngine = selectedEngine(host.feed(at, r));
+  const std::uint32_t decodeEngine = selectedEngine(
       host.attemptEnded(at + 0.05, r.id.value, prefillEngine, Outcome::kPrefilled, false, cachedTokens));
   EXPECT_NE(decodeEngine, 0U);
   host.streamStarted(at + 0.08, r.id.value, decodeEngine);
@@ -151,9 +157,9 @@
   return prefillEngine;
 }
 
-/// Final responses that the policy itself gives.
-inline std::size_t finalResponses(const std::vector<Action>& actions) {
-  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+/// The number of requests that the actions reject or fail.
+inline std::size_t countFinalResponses(const std::vector<Action>& actions) {
+  return actionsOf<RejectRequest>(actions).size() + actionsOf<FailRequest>(actions).size();
 }
 
 }  // namespace gannetcourse::test
--- a/tests/policy_records_test.cpp
+++ b/tests/policy_records_test.cpp
@@ -1,4 +1,5 @@
-// Small parts of the policy by themselves: the state lease, prefix tables, bounds and hashing.
+// Unit tests of small types and functions of the policy: state lease, prefix tables, bounds on reports,
+// hashing.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -14,18 +15,18 @@
 
 Instant at(double seconds) { return Instant(Duration(seconds)); }
 
-TEST(StateLeaseRecord, RunsFromThePrefillsEndAndEndsBeforeTheLimit) {
+TEST(StateLeaseRecord, LastsFromTheEndOfThePrefillUntilShortlyBeforeTheLimit) {
   StateLease lease;
   EXPECT_FALSE(lease.mayRemain());
   lease.begin(at(10));
   EXPECT_TRUE(lease.isWaiting());
-  // 0.6 of a second, less two periods of housekeeping.
+  // The state may wait for 0.6 of the limit, less two housekeeping periods: 0.56 s.
   EXPECT_TRUE(lease.canWaitLonger(at(10.55), Duration(1)));
   EXPECT_FALSE(lease.canWaitLonger(at(10.57), Duration(1)));
-  EXPECT_TRUE(lease.canWaitLonger(at(1000), Duration(0))) << "no limit";
+  EXPECT_TRUE(lease.canWaitLonger(at(1000), Duration(0))) << "a limit of 0 means no limit";
 }
 
-TEST(StateLeaseRecord, AStateReleasedDuringDecodeMayRemain) {
+TEST(StateLeaseRecord, StateReleasedDuringDecodeMayRemainAtTheEngine) {
   StateLease lease;
   lease.begin(at(0));
   lease.releaseDuringDecode();
@@ -35,28 +36,29 @@
   EXPECT_FALSE(lease.mayRemain());
 }
 
-TEST(CachedPrefixTable, EntriesDecayAndEndWithTheProcess) {
+TEST(CachedPrefixTable, EntriesDecayAndExpireWhenTheEngineRestarts) {
   CachedPrefixTable table;
   table.record(7, {1}, 1000, at(0));
   EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(0), at(0)), 1000);
   EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(0), at(60)), 1000 * std::exp(-1.0));
-  EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(1), at(2)), 0) << "the process started later";
+  EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(1), at(2)), 0)
+      << "the engine has started since the entry was recorded";
   EXPECT_DOUBLE_EQ(table.cachedTokens(7, {2}, at(0), at(0)), 0) << "another engine";
   table.record(0, {1}, 1000, at(0));
   EXPECT_DOUBLE_EQ(table.cachedTokens(0, {1}, at(0), at(0)), 0) << "no key";
 }
 
-TEST(PrefixPopularity, LeavesOutTheRequestAtHand) {
+TEST(PrefixPopularity, DoesNotCountTheNewestRequest) {
   PrefixPopularity popularity;
   popularity.record(7, at(0));
   EXPECT_DOUBLE_EQ(popularity.fractionOf(7, at(0)), 0);
   for (int i = 0; i < 4; ++i) popularity.record(7, at(0));
   popularity.record(8, at(0));
-  // Four others of six requests, and four more that are taken as seen.
+  // Four of six requests and four more as a prior; the newest request with the prefix does not count.
   EXPECT_DOUBLE_EQ(popularity.fractionOf(7, at(0)), 0.4);
 }
 
-TEST(LoadReportBounds, NoFigureIsNegativeAbsurdOrNotANumber) {
+TEST(LoadReportBounds, ReplacesNegativeHugeAndNotANumberFigures) {
   LoadReport report;
   report.requestsQueued = 1e300;
   report.memoryUtilization = -1;
@@ -65,12 +67,12 @@
   EXPECT_DOUBLE_EQ(*load.requestsQueued, kMaxReportedRequests);
   EXPECT_DOUBLE_EQ(*load.memoryUtilization, 0);
   EXPECT_DOUBLE_EQ(*load.slotUtilization, 0);
-  EXPECT_FALSE(load.requestsInFlight) << "what was not reported stays unknown";
+  EXPECT_FALSE(load.requestsInFlight) << "a figure that was not reported stays unset";
   EXPECT_DOUBLE_EQ(boundedCachedTokens(2000, 1000), 1000);
 }
 
-// Routers must agree on it, those of other versions too.
-TEST(Hashing, GivesTheRecordedNumbers) {
+// All routers, also those of other versions, must compute the same hashes to prefer the same engines.
+TEST(Hashing, ReturnsTheRecordedHashes) {
   EXPECT_EQ(hashCombine(0, 0), 0U);
   EXPECT_EQ(hashCombine(1, 2), 0xbeeb8da1658eec67U);
   EXPECT_EQ(hashCombine(0x123456789abcdef, 42), 0xc4915e2d5eae9ad0U);
--- a/tests/policy_streams_test.cpp
+++ b/tests/policy_streams_test.cpp
@@ -1,7 +1,6 @@
-// Seeded streams of events give the actions that were recorded for them, byte for byte: the test fails for a
-// change of the code that changes a decision. Where that is intended, the file is recorded anew:
-// GANNETCOURSE_RECORD=1 build-ci/tests/gannetcourse_tests
-// --gtest_filter='*PolicyStreams*'
+// Compares the policy's actions for seeded streams of events with recorded digests. It fails when a code
+// change changes any decision. If that is intended, record the file again:
+//   GANNETCOURSE_RECORD=1 build-ci/tests/gannetcourse_tests --gtest_filter='*PolicyStreams*'
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -18,9 +17,9 @@
 namespace {
 
 constexpr std::uint32_t kSeeds = 8;
-constexpr double kLength = 12;  // seconds that a stream lasts
+constexpr double kLength = 12;  // seconds of a stream
 
-// ---- Actions as text; the digests were recorded with these words ----
+// ---- Actions as text. The recorded digests depend on these words, so they must not change. ----
 std::string textOf(const StartAttempt& a) {
   char figures[128];
   std::snprintf(figures, sizeof figures, " %u %.9g %.9g %.9g", a.engine.value, a.timeout.count(),
@@ -40,13 +39,14 @@
 std::string textOf(const SetTimer& a) { return "timer " + a.timer.value; }
 std::string textOf(const Log& a) { return "log " + a.text; }
 
-// One router's events over some seconds: arrivals of sessions and shared prefixes, attempts that end well and
-// badly, load reports, probes, engine lists, and new settings.
+// Generates the events of one router: arrivals with sessions and shared prefixes, attempts that succeed or
+// fail, load reports, probes, engine lists and new settings. Events depend on the seed and on the policy's
+// actions.
 class Stream {
  public:
   explicit Stream(std::uint32_t seed) : random_(seed), settings_(settingsOf(seed)), policy_(settings_) {}
 
-  std::string play() {
+  std::string run() {
     for (std::uint32_t id = 1; id <= 10; ++id) entries_.push_back(entryOf(id));
     feed(EngineListUpdate{EngineListUpdate::Scope::kSnapshot, entries_});
     for (; now_ < kLength; now_ += 0.02) {
@@ -63,7 +63,7 @@
   struct Attempt {
     std::string id;
     EngineId engine;
-    bool prefills = false, streaming = false;
+    bool isPrefill = false, streaming = false;
     double endsAt = 0;
   };
 
@@ -88,6 +88,7 @@
     return engineEntry(id, role, id % 3, id % 2);
   }
 
+  // A random number of at least 0 and less than `below`.
   int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint32_t>(below)); }
 
   void arrive() {
@@ -113,7 +114,7 @@
     feed(EngineListUpdate{EngineListUpdate::Scope::kDelta, {entry}});
   }
 
-  LoadReport report() {
+  LoadReport drawLoadReport() {
     LoadReport load;
     load.requestsQueued = draw(5);
     load.memoryUtilization = draw(100) * 0.01;
@@ -129,8 +130,8 @@
   }
 
   void endAttempt(const Attempt& attempt) {
-    const int lot = draw(12);
-    if (!attempt.prefills && !attempt.streaming && lot < 9) {
+    const int outcomeDraw = draw(12);
+    if (!attempt.isPrefill && !attempt.streaming && outcomeDraw < 9) {
       inFlight_[attempt.id].streaming = true;
       inFlight_[attempt.id].endsAt = now_ + 0.1 + draw(20) * 0.05;
       return feed(StreamStarted{{attempt.id}, 0, attempt.engine, Duration(0.03)});
@@ -139,12 +140,12 @@
     e.id = {attempt.id};
     e.engine = attempt.engine;
     e.elapsed = Duration(0.02 + draw(10) * 0.01);
-    e.cachedTokens = attempt.prefills ? draw(500) : 0;
-    e.load = report();
-    const Outcome bad[] = {Outcome::kError,    Outcome::kReset,     Outcome::kConnectFailed,
-                           Outcome::kRejected, Outcome::kStateLost, Outcome::kTimeout};
-    const bool good = attempt.streaming || (attempt.prefills && lot < 9);
-    e.outcome = good ? (attempt.prefills ? Outcome::kPrefilled : Outcome::kOk) : bad[draw(6)];
+    e.cachedTokens = attempt.isPrefill ? draw(500) : 0;
+    e.load = drawLoadReport();
+    const Outcome failures[] = {Outcome::kError,    Outcome::kReset,     Outcome::kConnectFailed,
+                                Outcome::kRejected, Outcome::kStateLost, Outcome::kTimeout};
+    const bool succeeds = attempt.streaming || (attempt.isPrefill && outcomeDraw < 9);
+    e.outcome = succeeds ? (attempt.isPrefill ? Outcome::kPrefilled : Outcome::kOk) : failures[draw(6)];
     e.requestFinished = attempt.streaming;
     inFlight_.erase(attempt.id);
     feed(e);
@@ -160,14 +161,14 @@
       if (const auto* probe = std::get_if<Probe>(&action)) probed_.push_back(probe->engine);
     }
     const std::vector<EngineId> probed = std::exchange(probed_, {});
-    for (const EngineId id : probed) feed(ProbeEnded{id, Outcome::kOk, Duration(0.005), report()});
+    for (const EngineId id : probed) feed(ProbeEnded{id, Outcome::kOk, Duration(0.005), drawLoadReport()});
   }
 
   void onStartAttempt(const StartAttempt& start) {
-    const bool prefills = entries_[start.engine.value - 1].role == Role::kPrefill;
-    const double takes = draw(15) == 0 ? 5 : 0.03 + draw(20) * 0.02;
-    inFlight_[start.id.value] = {start.id.value, start.engine, prefills, false,
-                                 now_ + std::min(takes, start.timeout.count())};
+    const bool isPrefill = entries_[start.engine.value - 1].role == Role::kPrefill;
+    const double duration = draw(15) == 0 ? 5 : 0.03 + draw(20) * 0.02;
+    inFlight_[start.id.value] = {start.id.value, start.engine, isPrefill, false,
+                                 now_ + std::min(duration, start.timeout.count())};
   }
 
   void onCancelAttempt(const std::string& id) {
@@ -192,14 +193,15 @@
   int count_ = 0;
 };
 
-TEST(PolicyStreams, GiveTheRecordedActions) {
-  std::ostringstream played;
-  for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) played << seed << " " << Stream(seed).play() << "\n";
+TEST(PolicyStreams, ProduceTheRecordedActions) {
+  std::ostringstream actual;
+  for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) actual << seed << " " << Stream(seed).run() << "\n";
   const std::string path = std::string(TEST_DATA) + "/policy-streams.txt";
-  if (std::getenv("GANNETCOURSE_RECORD") != nullptr) std::ofstream(path) << played.str();
+  if (std::getenv("GANNETCOURSE_RECORD") != nullptr) std::ofstream(path) << actual.str();
   std::ostringstream recorded;
   recorded << std::ifstream(path).rdbuf();
-  EXPECT_EQ(played.str(), recorded.str()) << "seed, digest, number of actions";
+  EXPECT_EQ(actual.str(), recorded.str())
+      << "each line is a seed, the digest of its actions and their number";
 }
 
 }  // namespace
--- a/tests/random_days_test.cpp
+++ b/tests/random_days_test.cpp
@@ -1,4 +1,4 @@
-// The rules as invariants over long seeded random days.
+// Checks invariants of the policy over long random sequences of events, by seed.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,14 +9,17 @@
 namespace gannetcourse::test {
 namespace {
 
-// Plays random outcomes, late engine lists, restarts and disconnecting clients, and checks each action.
+// Simulates 24 s with random arrivals, outcomes and changes of engines, and checks every action of the
+// policy: one final response per request before its deadline, one attempt at a time, safe retries, leases
+// within their limit.
 class RandomDay {
  public:
-  explicit RandomDay(std::uint32_t seed) : random_(seed), settings_(make(random_)), host_(settings_) {}
+  explicit RandomDay(std::uint32_t seed)
+      : random_(seed), settings_(makeSettings(random_)), host_(settings_) {}
 
-  void play() {
+  void run() {
     for (std::uint32_t id = 1; id <= 8; ++id) entries_.push_back(engineEntry(id, role(id), id % 2, id % 3));
-    check(host_.engineList(now_, entries_, EngineListUpdate::Scope::kCached));
+    check(host_.updateEngineList(now_, entries_, EngineListUpdate::Scope::kCached));
     for (int step = 0; step < 6000; ++step) {
       now_ += 0.004;
       if (draw(100) < 12 && step < 5000) arrive();
@@ -25,7 +28,7 @@
       if (step % 5 == 0) check(host_.doHousekeeping(now_));
     }
     EXPECT_GT(served_, 20);
-    for (const auto& [id, r] : requests_) EXPECT_TRUE(r.answered) << id << " got no response";
+    for (const auto& [id, r] : requests_) EXPECT_TRUE(r.answered) << id << " got no final response";
   }
 
  private:
@@ -35,12 +38,12 @@
     int attempts = 0;
     std::uint32_t engine = 0, firstRunCell = 0;
     double endsAt = 0;
-    bool arrived = false;  // the attempt in flight has reached its engine
+    bool arrived = false;  // whether the attempt in flight has reached its engine
     bool mayHaveRun = false;
     Idempotency idempotency = Idempotency::kIdempotent;
   };
 
-  static Settings make(std::mt19937& random) {
+  static Settings makeSettings(std::mt19937& random) {
     Settings s = twoStageSettings();
     s.cancelAllowed = random() % 2 == 0;
     s.classes.resize(3, s.classes[0]);
@@ -54,6 +57,7 @@
   static Role role(std::uint32_t id) {
     return id <= 3 ? Role::kPrefill : id <= 6 ? Role::kDecode : Role::kMixed;
   }
+  // A random number of at least 0 and less than `below`.
   int draw(int below) { return static_cast<int>(random_() % static_cast<std::uint32_t>(below)); }
 
   void arrive() {
@@ -78,7 +82,7 @@
       e.state = EngineEntry::State::kServing;
       e.startedAt = Instant(Duration(now_ - 0.5));
     }
-    check(host_.engineList(now_, {e}, EngineListUpdate::Scope::kDelta));
+    check(host_.updateEngineList(now_, {e}, EngineListUpdate::Scope::kDelta));
   }
 
   void endAttempts() {
@@ -88,7 +92,8 @@
     }
     for (const std::string& id : due) endAttempt(id, requests_[id]);
     for (const auto& [id, r] : requests_) {
-      if (r.stateLeased && !(r.inFlight && r.arrived)) {  // one that has not arrived does not count
+      if (r.stateLeased &&
+          !(r.inFlight && r.arrived)) {  // an attempt that has not arrived does not protect the state
         EXPECT_LT(now_ - r.leasedSince, settings_.stateLeaseLimit.count()) << id;
       }
       if (!r.answered && !r.streaming) {
@@ -98,7 +103,7 @@
   }
 
   void endAttempt(const std::string& id, OpenRequest& r) {
-    const bool prefills = role(r.engine) == Role::kPrefill;
+    const bool isPrefill = role(r.engine) == Role::kPrefill;
     if (r.streaming) {
       r.stateLeased = r.streaming = r.inFlight = false;
       r.answered = true;
@@ -106,8 +111,8 @@
       check(host_.attemptEnded(now_, id, r.engine, draw(10) ? Outcome::kOk : Outcome::kReset, true));
       return;
     }
-    const int luck = r.arrived ? draw(10) : 9;
-    if (luck < 8 && !prefills && !r.answered) {
+    const int outcomeDraw = r.arrived ? draw(10) : 9;
+    if (outcomeDraw < 8 && !isPrefill && !r.answered) {
       r.streaming = true;
       r.stateLeased = false;
       r.endsAt = now_ + 0.5;
@@ -115,16 +120,16 @@
       return;
     }
     Outcome outcome = Outcome::kPrefilled;
-    if (!prefills || luck >= 8) {
-      const Outcome bad[] = {Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset, Outcome::kError,
-                             Outcome::kRejected};
-      outcome = bad[draw(r.arrived ? 5 : 3)];
+    if (!isPrefill || outcomeDraw >= 8) {
+      const Outcome failures[] = {Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset,
+                                  Outcome::kError, Outcome::kRejected};
+      outcome = failures[draw(r.arrived ? 5 : 3)];
     }
     r.inFlight = false;
     if (outcome == Outcome::kPrefilled) r.stateLeased = true;
     if (r.stateLeased && r.arrived) r.leasedSince = now_;
     const bool provenNotRun = outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed;
-    if (!prefills && !provenNotRun) {
+    if (!isPrefill && !provenNotRun) {
       if (!r.mayHaveRun) r.firstRunCell = r.engine % 2;
       r.mayHaveRun = true;
     }
@@ -138,14 +143,15 @@
       if (const auto* reject = std::get_if<RejectRequest>(&action)) {
         OpenRequest& r = requests_[reject->id.value];
         const bool ran = r.mayHaveRun || (r.inFlight && role(r.engine) != Role::kPrefill);
-        EXPECT_TRUE(r.idempotency == Idempotency::kIdempotent || !ran) << "rejected though it may have run";
+        EXPECT_TRUE(r.idempotency == Idempotency::kIdempotent || !ran)
+            << "the request was rejected although an attempt may have run";
         onFinalResponse(reject->id.value);
       }
       if (const auto* fail = std::get_if<FailRequest>(&action)) onFinalResponse(fail->id.value);
     }
   }
 
-  // A decode engine that waits for the state keeps it.
+  // A release ends the lease, unless a decode attempt that has arrived is waiting for the state.
   void onRelease(OpenRequest& r) {
     const bool waitsForState = r.inFlight && r.arrived && role(r.engine) != Role::kPrefill;
     if (!waitsForState) r.stateLeased = false;
@@ -154,13 +160,14 @@
   void onStartAttempt(const StartAttempt& start) {
     OpenRequest& r = requests_[start.id.value];
     const EngineEntry& to = entries_[start.engine.value - 1];
-    EXPECT_FALSE(r.answered) << "started after its end";
-    EXPECT_FALSE(r.inFlight) << "a second attempt in flight";
+    EXPECT_FALSE(r.answered) << "an attempt was started after the final response";
+    EXPECT_FALSE(r.inFlight) << "a second attempt was started while one is in flight";
     EXPECT_EQ(to.state, EngineEntry::State::kServing);
     EXPECT_LE(++r.attempts, settings_.maxAttempts);
     EXPECT_GT(start.timeout.count(), 0);
     if (r.mayHaveRun && r.idempotency != Idempotency::kIdempotent) {
-      EXPECT_EQ(r.idempotency, Idempotency::kIdempotencyKey) << "an at-most-once request was retried";
+      EXPECT_EQ(r.idempotency, Idempotency::kIdempotencyKey)
+          << "an at-most-once request was retried although it may have run";
       EXPECT_EQ(to.cell, r.firstRunCell);
       EXPECT_LE(now_, r.firstRunAt + 1.5);
     }
@@ -172,7 +179,7 @@
   }
 
   void onFinalResponse(const std::string& id) {
-    EXPECT_FALSE(requests_[id].answered) << id << " got two responses";
+    EXPECT_FALSE(requests_[id].answered) << id << " got two final responses";
     EXPECT_LE(now_, requests_[id].deadline) << id;
     requests_[id].answered = true;
   }
@@ -188,7 +195,7 @@
 
 class RandomDays : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(RandomDays, KeepTheRules) { RandomDay(GetParam()).play(); }
+TEST_P(RandomDays, SatisfyTheInvariants) { RandomDay(GetParam()).run(); }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDays, testing::Range(1U, 13U));
 
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// Every request gets one final response in time; what follows a failed attempt.
+// The life of a request: one final response before the deadline, and the next step after a failed attempt.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -6,87 +6,90 @@
 namespace gannetcourse::test {
 namespace {
 
-TEST(RequestLifecycle, ALostStateIsPrefilledAnew) {
+TEST(RequestLifecycle, PrefillsAgainWhenTheStateIsLost) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
-  EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
-  EXPECT_EQ(sentTo(host.attemptEnded(1.3, "a", 2, Outcome::kStateLost)), 1U);
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.3, "a", 2, Outcome::kStateLost)), 1U);
 }
 
-TEST(RequestLifecycle, AnotherDecodeEngineTakesTheWaitingStateAfterAFailure) {
+TEST(RequestLifecycle, RetriesDecodeAtAnotherEngineWhenOneFails) {
   PolicyHost host(twoStageSettings());
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-  const std::uint32_t next = sentTo(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kError));
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  const std::uint32_t next = selectedEngine(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kError));
   EXPECT_EQ(decodeEngine + next, 5U);
 }
 
-TEST(RequestLifecycle, ABrokenStreamIsNotRetried) {
+TEST(RequestLifecycle, DoesNotRetryWhenAStreamBreaks) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled);
   host.streamStarted(1.3, "a", 2);
-  EXPECT_TRUE(only<StartAttempt>(host.attemptEnded(1.5, "a", 2, Outcome::kReset, true)).empty());
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.attemptEnded(1.5, "a", 2, Outcome::kReset, true)).empty());
 }
 
-TEST(RequestLifecycle, AnEmptyEngineListRejectsInTime) {
+TEST(RequestLifecycle, RejectsRequestBeforeItsDeadlineWhenThereAreNoEngines) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {}, EngineListUpdate::Scope::kCached);
+  host.updateEngineList(1, {}, EngineListUpdate::Scope::kCached);
   host.request(1.1, "a");
-  const auto rejected = only<RejectRequest>(host.runUntil(2));
+  const auto rejected = actionsOf<RejectRequest>(host.runUntil(2));
   ASSERT_EQ(rejected.size(), 1U);
   EXPECT_DOUBLE_EQ(rejected[0].retryAfter.count(), 1.0);
   EXPECT_LT(host.now, 1.1 + 4);
 }
 
-TEST(RequestLifecycle, RespondsBeforeTheDeadlineWithAnAttemptInFlight) {
+TEST(RequestLifecycle, RespondsBeforeTheDeadlineWhenAnAttemptIsStillInFlight) {
   Settings settings = twoStageSettings();
   settings.cancelAllowed = false;
   PolicyHost host(settings);
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a", 1000, 0.8);
   host.runUntil(1.1 + 0.8);
-  EXPECT_EQ(finalResponses(host.all), 1U);
-  EXPECT_FALSE(only<Release>(host.all).empty());
-  EXPECT_TRUE(only<StartAttempt>(host.attemptEnded(1.95, "a", 1, Outcome::kTimeout)).empty());
+  EXPECT_EQ(countFinalResponses(host.allActions), 1U);
+  EXPECT_FALSE(actionsOf<Release>(host.allActions).empty());
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.attemptEnded(1.95, "a", 1, Outcome::kTimeout)).empty());
 }
 
-// A client that has all but given up: there is no time for another step, so the response comes in this one.
-TEST(RequestLifecycle, RespondsAtOnceToARequestWithoutTimeLeft) {
+// A request that arrives at its deadline leaves no time for a later event, so it has to be rejected in the
+// same one.
+TEST(RequestLifecycle, RejectsRequestAtOnceWhenItHasNoTimeLeft) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
-  EXPECT_EQ(only<RejectRequest>(host.request(1.1, "late", 100, 0)).size(), 1U);
-  EXPECT_TRUE(only<StartAttempt>(host.runUntil(2)).empty());
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  EXPECT_EQ(actionsOf<RejectRequest>(host.request(1.1, "late", 100, 0)).size(), 1U);
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.runUntil(2)).empty());
 }
 
-TEST(RequestLifecycle, HousekeepingGoesOnWhenTheHostRoundsItsTimers) {
+// A host may round the times of its timers, so that one fires slightly early. Housekeeping must not stop
+// then.
+TEST(RequestLifecycle, SetsTheHousekeepingTimerAgainWhenItFiresEarly) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {});
-  EXPECT_EQ(only<SetTimer>(host.doHousekeeping(1.0199999)).size(),
-            1U);  // fired a little early: must be set again
+  host.updateEngineList(1, {});
+  EXPECT_EQ(actionsOf<SetTimer>(host.doHousekeeping(1.0199999)).size(),
+            1U);  // due at 1.02 s
 }
 
-TEST(RequestLifecycle, AStateThatArrivesAfterTheEndIsReleased) {
+TEST(RequestLifecycle, ReleasesStateWhenPrefillEndsAfterTheClientDisconnected) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   host.feed(1.15, ClientDisconnected{{"a"}});
-  EXPECT_EQ(only<CancelAttempt>(host.last).size(), 1U);
+  EXPECT_EQ(actionsOf<CancelAttempt>(host.lastActions).size(), 1U);
   host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled);
-  EXPECT_EQ(only<Release>(host.last).size(), 1U);
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
+  EXPECT_EQ(actionsOf<Release>(host.lastActions).size(), 1U);
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.lastActions).empty());
 }
 
-TEST(RequestLifecycle, UnknownIdsAreIgnored) {
+TEST(RequestLifecycle, IgnoresEventsWithUnknownRequestIds) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill)});
-  EXPECT_TRUE(host.attemptEnded(1.1, "never", 1, Outcome::kPrefilled).empty());
-  EXPECT_TRUE(host.streamStarted(1.1, "never", 1).empty());
-  EXPECT_TRUE(host.feed(1.1, ClientDisconnected{{"never"}}).empty());
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill)});
+  EXPECT_TRUE(host.attemptEnded(1.1, "unknown", 1, Outcome::kPrefilled).empty());
+  EXPECT_TRUE(host.streamStarted(1.1, "unknown", 1).empty());
+  EXPECT_TRUE(host.feed(1.1, ClientDisconnected{{"unknown"}}).empty());
 }
 
 }  // namespace
--- a/tests/retry_safety_test.cpp
+++ b/tests/retry_safety_test.cpp
@@ -1,4 +1,5 @@
-// No effect twice: where requests may go again after an attempt that may have run.
+// Retry safety: whether and where a request may be retried after an attempt that may have run, so that no
+// effect occurs twice.
 #include "policy/retry_safety.h"
 
 #include <gtest/gtest.h>
@@ -16,127 +17,136 @@
   return s;
 }
 
-TEST(RetrySafety, AnAtMostOnceRequestFailsAfterADecodeMayHaveRun) {
+TEST(RetrySafety, FailsAtMostOnceRequestWhenItsDecodeMayHaveRun) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   host.attemptEnded(1.3, "a", decodeEngine, Outcome::kReset);
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
-  EXPECT_EQ(only<FailRequest>(host.last).size(), 1U);
-  EXPECT_EQ(only<Release>(host.last).size(), 1U);
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.lastActions).empty());
+  EXPECT_EQ(actionsOf<FailRequest>(host.lastActions).size(), 1U);
+  EXPECT_EQ(actionsOf<Release>(host.lastActions).size(), 1U);
 }
 
-// An attempt in flight proves nothing until it has ended, even a prefill that can have no effect.
-TEST(RetrySafety, AnAtMostOnceRequestIsNotRejectedWithAPrefillInFlight) {
+// A rejection tells the client that nothing ran. An attempt in flight does not prove that, even if it is a
+// prefill, which has no effect.
+TEST(RetrySafety, FailsAtMostOnceRequestAtItsDeadlineWhenAPrefillIsInFlight) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a", 1000, 0.5);
-  ASSERT_EQ(only<StartAttempt>(host.all).size(), 1U);
+  ASSERT_EQ(actionsOf<StartAttempt>(host.allActions).size(), 1U);
   host.runUntil(1.6);
-  EXPECT_TRUE(only<RejectRequest>(host.all).empty());
-  EXPECT_EQ(only<FailRequest>(host.all).size(), 1U);
+  EXPECT_TRUE(actionsOf<RejectRequest>(host.allActions).empty());
+  EXPECT_EQ(actionsOf<FailRequest>(host.allActions).size(), 1U);
 }
 
-TEST(RetrySafety, AnAtMostOnceRequestIsRetriedWhenProvenNotRun) {
+TEST(RetrySafety, RetriesAtMostOnceRequestWhenTheDecodeIsProvenNotRun) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-  EXPECT_EQ(sentTo(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kConnectFailed)), 5U - decodeEngine);
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.3, "a", decodeEngine, Outcome::kConnectFailed)),
+            5U - decodeEngine);
 }
 
-TEST(RetrySafety, AKeyedRequestStaysInItsCellAndIsNotRejected) {
+TEST(RetrySafety, RetriesRequestWithIdempotencyKeyOnlyInItsDedupCell) {
   PolicyHost host(settingsWith(Idempotency::kIdempotencyKey, DedupScope::kCell));
-  host.engineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 0),
-                      engineEntry(3, Role::kDecode, 1)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill, 0), engineEntry(2, Role::kDecode, 0),
+                            engineEntry(3, Role::kDecode, 1)});
   host.request(1.1, "a");
-  EXPECT_EQ(sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
+  EXPECT_EQ(selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled)), 2U);
   host.attemptEnded(1.3, "a", 2, Outcome::kError);
-  for (const StartAttempt& send : only<StartAttempt>(host.last)) EXPECT_EQ(send.engine.value, 2U);
+  for (const StartAttempt& start : actionsOf<StartAttempt>(host.lastActions))
+    EXPECT_EQ(start.engine.value, 2U);
   host.runUntil(5.2);
-  for (const StartAttempt& send : only<StartAttempt>(host.all)) EXPECT_NE(send.engine.value, 3U);
-  EXPECT_TRUE(only<RejectRequest>(host.all).empty());
+  for (const StartAttempt& start : actionsOf<StartAttempt>(host.allActions))
+    EXPECT_NE(start.engine.value, 3U);
+  EXPECT_TRUE(actionsOf<RejectRequest>(host.allActions).empty());
 }
 
-TEST(RetrySafety, AKeyedRequestIsNotRetriedAfterItsWindow) {
+TEST(RetrySafety, DoesNotRetryRequestWithIdempotencyKeyAfterTheDedupWindow) {
   PolicyHost host(settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll));
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   host.attemptEnded(2.3, "a", decodeEngine,
-                    Outcome::kError);  // 1.1 s after that start, past the window of 1 s
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty()) << "not even to a prefill engine";
-  EXPECT_EQ(only<RejectRequest>(host.last).size(), 1U) << "given up, so rejected at once";
-  EXPECT_TRUE(only<StartAttempt>(host.runUntil(5.2)).empty());
+                    Outcome::kError);  // 1.1 s after the decode started; the window is 1 s
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.lastActions).empty()) << "no new prefill either";
+  EXPECT_EQ(actionsOf<RejectRequest>(host.lastActions).size(), 1U)
+      << "no retry can follow, so it is rejected immediately";
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.runUntil(5.2)).empty());
 }
 
-// An attempt may leave as late as its connection takes to come up: that, too, has to be within the window.
-TEST(RetrySafety, AKeyedRequestLeavesWithinItsWindowThoughConnectingTakesTime) {
-  for (const double dial : {0.0, 0.25}) {
+// A retry is only sent once its connection is established, which may take the connect timeout. It has to be
+// sent within the deduplication window even then.
+TEST(RetrySafety, DoesNotRetryWhenConnectingMayExceedTheDedupWindow) {
+  for (const double connectTimeout : {0.0, 0.25}) {
     Settings settings = settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll);
-    settings.connectTimeout = Duration(dial);
-    settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
+    settings.connectTimeout = Duration(connectTimeout);
+    settings.stateLeaseLimit = Duration(0);  // no limit, so that the state is still available
     PolicyHost host(settings);
-    host.engineList(
+    host.updateEngineList(
         1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
-    const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-    host.attemptEnded(2.0, "a", decodeEngine, Outcome::kError);  // 0.8 s after that start, of a window of 1 s
-    EXPECT_EQ(only<StartAttempt>(host.last).size(), dial > 0 ? 0U : 1U);
+    const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+    host.attemptEnded(2.0, "a", decodeEngine,
+                      Outcome::kError);  // 0.8 s after the decode started; the window is 1 s
+    EXPECT_EQ(actionsOf<StartAttempt>(host.lastActions).size(), connectTimeout > 0 ? 0U : 1U);
   }
 }
 
-// A machine may stall between the decision and the write.
-TEST(RetrySafety, AKeyedRequestLeavesWithinItsWindowThoughTheMachineStalls) {
-  for (const double failsAfter : {0.8, 0.9}) {
+// The machine may stall between the decision to retry and the sending. The retry has to be sent within the
+// deduplication window even then.
+TEST(RetrySafety, DoesNotRetryWhenAStallMayExceedTheDedupWindow) {
+  for (const double secondsToFailure : {0.8, 0.9}) {
     Settings settings = settingsWith(Idempotency::kIdempotencyKey, DedupScope::kAll);
-    settings.stateLeaseLimit = Duration(0);  // its state still waits at that time
+    settings.stateLeaseLimit = Duration(0);  // no limit, so that the state is still available
     PolicyHost host(settings);
-    host.engineList(
+    host.updateEngineList(
         1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
-    const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-    host.attemptEnded(1.2 + failsAfter, "a", decodeEngine, Outcome::kError);
-    EXPECT_EQ(only<StartAttempt>(host.last).size(), failsAfter > 0.85 ? 0U : 1U);
+    const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+    host.attemptEnded(1.2 + secondsToFailure, "a", decodeEngine, Outcome::kError);
+    EXPECT_EQ(actionsOf<StartAttempt>(host.lastActions).size(), secondsToFailure > 0.85 ? 0U : 1U);
   }
 }
 
-// A request is finished under the class that it was accepted with, whatever comes into service meanwhile.
-TEST(RetrySafety, NewSettingsDoNotLoosenTheClassOfAnOpenRequest) {
+// A request keeps the class with which it was accepted. New settings with other classes must not allow a
+// retry that the old class forbids.
+TEST(RetrySafety, OpenRequestKeepsItsClassWhenSettingsChange) {
   PolicyHost host(settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll));
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
-  Settings moved = settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll);
-  moved.classes[0].inService = false;
-  moved.classes.push_back(twoStageSettings().classes[0]);
-  moved.routerCount = 150;
-  moved.tenants = {{1, 10}};
-  host.feed(1.25, SettingsChanged{moved});
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  Settings changed = settingsWith(Idempotency::kAtMostOnce, DedupScope::kAll);
+  changed.classes[0].inService = false;
+  changed.classes.push_back(twoStageSettings().classes[0]);
+  changed.routerCount = 150;
+  changed.tenants = {{1, 10}};
+  host.feed(1.25, SettingsChanged{changed});
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.lastActions).empty());
   host.attemptEnded(1.3, "a", decodeEngine, Outcome::kReset);
-  EXPECT_TRUE(only<StartAttempt>(host.last).empty());
-  EXPECT_EQ(only<FailRequest>(host.last).size(), 1U);
-  RequestArrived fresh;
-  fresh.id = {"b"};
-  fresh.classIndex = 1;
-  fresh.tenant = 0;
-  fresh.timeUntilDeadline = Duration(4);
-  fresh.promptTokens = 500;
-  EXPECT_NE(sentTo(host.feed(1.4, fresh)), 0U);
+  EXPECT_TRUE(actionsOf<StartAttempt>(host.lastActions).empty());
+  EXPECT_EQ(actionsOf<FailRequest>(host.lastActions).size(), 1U);
+  RequestArrived newRequest;
+  newRequest.id = {"b"};
+  newRequest.classIndex = 1;
+  newRequest.tenant = 0;
+  newRequest.timeUntilDeadline = Duration(4);
+  newRequest.promptTokens = 500;
+  EXPECT_NE(selectedEngine(host.feed(1.4, newRequest)), 0U);
 }
 
-// The rules of the module by itself: class, what has happened, what is allowed.
-TEST(RetrySafetyRules, RejectionNeedsProofThatNothingRanOrRequestsThatMayRepeat) {
+// Tests RetrySafety directly: by class and by what has happened, which responses and retries are allowed.
+TEST(RetrySafetyRules, AllowsRejectionWhenNothingRanOrARepeatIsHarmless) {
   struct Case {
     Idempotency idempotency;
     DedupScope scope;
-    bool rejectedWhenInFlight;
+    bool canRejectInFlight;
   };
   const Case cases[] = {{Idempotency::kIdempotent, DedupScope::kCell, true},
                         {Idempotency::kIdempotencyKey, DedupScope::kAll, true},
@@ -147,23 +157,24 @@
     const policy::DecisionContext context(settingsWith(c.idempotency, c.scope));
     const policy::RetrySafety safety(context);
     policy::Request request;
-    EXPECT_TRUE(safety.canReject(request)) << "nothing was started";
+    EXPECT_TRUE(safety.canReject(request)) << "no attempt was started";
     request.attemptInFlight = true;
-    EXPECT_EQ(safety.canReject(request), c.rejectedWhenInFlight);
+    EXPECT_EQ(safety.canReject(request), c.canRejectInFlight);
     request.attemptInFlight = false;
     policy::RetrySafety::recordPossibleRun(request, engineEntry(1, Role::kDecode));
-    EXPECT_EQ(safety.canReject(request), c.rejectedWhenInFlight);
+    EXPECT_EQ(safety.canReject(request), c.canRejectInFlight);
   }
 }
 
-TEST(RetrySafetyRules, ARetryStaysInTheScopeOfTheFirstRun) {
+TEST(RetrySafetyRules, AllowsRetryOnlyInTheDedupScopeOfTheFirstRun) {
   const DedupScope scopes[] = {DedupScope::kAll, DedupScope::kZone, DedupScope::kCell};
   for (const DedupScope scope : scopes) {
     const policy::DecisionContext context(settingsWith(Idempotency::kIdempotencyKey, scope));
     const policy::RetrySafety safety(context);
     policy::Request request;
     policy::RetrySafety::recordPossibleRun(request, engineEntry(1, Role::kDecode, 1, 1));
-    policy::RetrySafety::recordPossibleRun(request, engineEntry(9, Role::kDecode, 2, 2));  // not the first
+    policy::RetrySafety::recordPossibleRun(request,
+                                           engineEntry(9, Role::kDecode, 2, 2));  // not the first run
     policy::Engine sameCell, sameZone, elsewhere;
     sameCell.entry = engineEntry(2, Role::kDecode, 1, 1);
     sameZone.entry = engineEntry(3, Role::kDecode, 3, 1);
@@ -174,7 +185,7 @@
   }
 }
 
-TEST(RetrySafetyRules, OutcomesThatProveThatNothingRan) {
+TEST(RetrySafetyRules, OnlySomeOutcomesProveThatNothingRan) {
   for (const Outcome outcome :
        {Outcome::kRejected, Outcome::kStateLost, Outcome::kConnectFailed, Outcome::kNotSent}) {
     EXPECT_TRUE(policy::RetrySafety::isProvenNotRun(outcome));
--- a/tests/state_lease_test.cpp
+++ b/tests/state_lease_test.cpp
@@ -1,4 +1,5 @@
-// States that wait at a prefill engine are released in time, whatever becomes of the decode attempts.
+// Leases of states: a state at a prefill engine is released within its limit, whatever the decode attempts
+// do.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -6,7 +7,7 @@
 namespace gannetcourse::test {
 namespace {
 
-constexpr double kLeaseLimit = 1, kPrefillEnds = 1.2;
+constexpr double kLeaseLimit = 1, kPrefillEnd = 1.2;  // seconds
 constexpr std::uint32_t kPrefillEngine = 1;
 
 Settings settingsWith(Idempotency idempotency) {
@@ -23,16 +24,16 @@
                                           Idempotency::kAtMostOnce};
 
 // A request whose prefill has ended and whose decode attempt is in flight.
-class Decoding {
+class DecodingRequest {
  public:
-  explicit Decoding(Idempotency idempotency)
+  explicit DecodingRequest(Idempotency idempotency)
       : host(settingsWith(idempotency)), canRepeat(idempotency != Idempotency::kAtMostOnce) {
-    host.engineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
-                        engineEntry(3, Role::kDecode)});
+    host.updateEngineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
+                              engineEntry(3, Role::kDecode)});
     host.request(1.1, "a");
-    decodeEngine = sentTo(host.attemptEnded(kPrefillEnds, "a", kPrefillEngine, Outcome::kPrefilled));
+    decodeEngine = selectedEngine(host.attemptEnded(kPrefillEnd, "a", kPrefillEngine, Outcome::kPrefilled));
     EXPECT_NE(decodeEngine, 0U);
-    host.all.clear();
+    host.allActions.clear();
   }
 
   PolicyHost host;
@@ -40,102 +41,105 @@
   std::uint32_t decodeEngine = 0;
 };
 
-TEST(StateLease, ASilentDecodeDoesNotStopTheLease) {
+TEST(StateLease, ReleasesStateWithinTheLimitWhenTheDecodeIsNotAnswered) {
   for (const Idempotency idempotency : kIdempotencies) {
-    Decoding decoding(idempotency);
-    const auto seen = decoding.host.runUntil(kPrefillEnds + kLeaseLimit);
-    EXPECT_EQ(only<Release>(seen).size(), 1U);
-    EXPECT_TRUE(only<StartAttempt>(seen).empty());
-    EXPECT_TRUE(only<FailRequest>(seen).empty() && only<RejectRequest>(seen).empty())
-        << "the attempt may have arrived";
+    DecodingRequest decoding(idempotency);
+    const auto actions = decoding.host.runUntil(kPrefillEnd + kLeaseLimit);
+    EXPECT_EQ(actionsOf<Release>(actions).size(), 1U);
+    EXPECT_TRUE(actionsOf<StartAttempt>(actions).empty());
+    EXPECT_TRUE(actionsOf<FailRequest>(actions).empty() && actionsOf<RejectRequest>(actions).empty())
+        << "the attempt may have reached its engine and still succeed";
   }
 }
 
-TEST(StateLease, ADecodeEngineThatIsOnlySlowKeepsItsAttempt) {
+// The release must not cancel a decode attempt whose engine has the state and is only slow.
+TEST(StateLease, KeepsDecodeAttemptWhenItsEngineAnswersAfterTheLimit) {
   for (const Idempotency idempotency : kIdempotencies) {
-    Decoding decoding(idempotency);
-    decoding.host.runUntil(kPrefillEnds + kLeaseLimit);
-    decoding.host.streamStarted(kPrefillEnds + kLeaseLimit + 0.1, "a", decoding.decodeEngine);
+    DecodingRequest decoding(idempotency);
+    decoding.host.runUntil(kPrefillEnd + kLeaseLimit);
+    decoding.host.streamStarted(kPrefillEnd + kLeaseLimit + 0.1, "a", decoding.decodeEngine);
     decoding.host.runUntil(5);
-    EXPECT_TRUE(only<CancelAttempt>(decoding.host.all).empty());
+    EXPECT_TRUE(actionsOf<CancelAttempt>(decoding.host.allActions).empty());
     decoding.host.attemptEnded(5, "a", decoding.decodeEngine, Outcome::kOk, true);
-    EXPECT_TRUE(only<FailRequest>(decoding.host.all).empty() &&
-                only<RejectRequest>(decoding.host.all).empty());
+    EXPECT_TRUE(actionsOf<FailRequest>(decoding.host.allActions).empty() &&
+                actionsOf<RejectRequest>(decoding.host.allActions).empty());
   }
 }
 
-// The engine that the attempt reached may have kept the state from the first release.
-TEST(StateLease, ADecodeThatEndsLaterIsFollowedByAReleaseAndANewPrefill) {
+// A decode engine that the attempt has reached may keep the state despite the first release, so that a second
+// one is needed when the attempt fails.
+TEST(StateLease, ReleasesAgainBeforeANewPrefillWhenTheDecodeFailsAfterTheLimit) {
   for (const Idempotency idempotency : kIdempotencies) {
-    Decoding decoding(idempotency);
-    decoding.host.runUntil(kPrefillEnds + kLeaseLimit);
-    decoding.host.attemptEnded(kPrefillEnds + kLeaseLimit + 0.1, "a", decoding.decodeEngine, Outcome::kReset);
-    EXPECT_EQ(only<Release>(decoding.host.last).size(), 1U);
-    EXPECT_EQ(only<FailRequest>(decoding.host.last).size(), decoding.canRepeat ? 0U : 1U);
-    EXPECT_EQ(sentTo(decoding.host.last), 0U)
-        << "the release goes first: it would release the new prefill's state";
-    EXPECT_EQ(sentTo(decoding.host.runUntil(decoding.host.now + 0.03)),
+    DecodingRequest decoding(idempotency);
+    decoding.host.runUntil(kPrefillEnd + kLeaseLimit);
+    decoding.host.attemptEnded(kPrefillEnd + kLeaseLimit + 0.1, "a", decoding.decodeEngine, Outcome::kReset);
+    EXPECT_EQ(actionsOf<Release>(decoding.host.lastActions).size(), 1U);
+    EXPECT_EQ(actionsOf<FailRequest>(decoding.host.lastActions).size(), decoding.canRepeat ? 0U : 1U);
+    EXPECT_EQ(selectedEngine(decoding.host.lastActions), 0U)
+        << "the new prefill has to start after the release, which would otherwise release its state";
+    EXPECT_EQ(selectedEngine(decoding.host.runUntil(decoding.host.now + 0.03)),
               decoding.canRepeat ? kPrefillEngine : 0U);
   }
 }
 
-TEST(StateLease, ADecodeThatFindsTheStateLostIsPrefilledAnew) {
+TEST(StateLease, PrefillsAgainWhenTheStateIsLostAfterTheLimit) {
   for (const Idempotency idempotency : kIdempotencies) {
-    Decoding decoding(idempotency);
-    decoding.host.runUntil(kPrefillEnds + kLeaseLimit);
-    decoding.host.attemptEnded(kPrefillEnds + kLeaseLimit + 0.1, "a", decoding.decodeEngine,
+    DecodingRequest decoding(idempotency);
+    decoding.host.runUntil(kPrefillEnd + kLeaseLimit);
+    decoding.host.attemptEnded(kPrefillEnd + kLeaseLimit + 0.1, "a", decoding.decodeEngine,
                                Outcome::kStateLost);
-    EXPECT_EQ(sentTo(decoding.host.last), kPrefillEngine)
-        << "it never ran, so that an at-most-once request may be retried as well";
+    EXPECT_EQ(selectedEngine(decoding.host.lastActions), kPrefillEngine)
+        << "nothing ran, so an at-most-once request may be retried, too";
   }
 }
 
-// Attempts that may not have arrived do not restart the lease, however many there are.
-TEST(StateLease, AttemptsThatMayNotHaveArrivedDoNotLengthenTheLease) {
+// A decode attempt that may not have reached its engine must not restart the lease, or retries could keep the
+// state beyond its limit.
+TEST(StateLease, KeepsTheLimitWhenDecodeAttemptsMayNotHaveArrived) {
   for (const Outcome outcome : {Outcome::kTimeout, Outcome::kReset, Outcome::kConnectFailed}) {
     PolicyHost host(settingsWith(Idempotency::kIdempotent));
-    host.engineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
-                        engineEntry(3, Role::kDecode), engineEntry(4, Role::kDecode)});
+    host.updateEngineList(1, {engineEntry(kPrefillEngine, Role::kPrefill), engineEntry(2, Role::kDecode),
+                              engineEntry(3, Role::kDecode), engineEntry(4, Role::kDecode)});
     host.request(1.1, "a");
     const std::uint32_t first =
-        sentTo(host.attemptEnded(kPrefillEnds, "a", kPrefillEngine, Outcome::kPrefilled));
-    host.runUntil(kPrefillEnds + 0.3);
-    const std::uint32_t second = sentTo(host.attemptEnded(kPrefillEnds + 0.3, "a", first, outcome));
+        selectedEngine(host.attemptEnded(kPrefillEnd, "a", kPrefillEngine, Outcome::kPrefilled));
+    host.runUntil(kPrefillEnd + 0.3);
+    const std::uint32_t second = selectedEngine(host.attemptEnded(kPrefillEnd + 0.3, "a", first, outcome));
     ASSERT_NE(second, 0U);
-    EXPECT_NE(second, kPrefillEngine) << "the state still waits";
-    EXPECT_EQ(only<Release>(host.runUntil(kPrefillEnds + kLeaseLimit)).size(), 1U);
+    EXPECT_NE(second, kPrefillEngine) << "the state is still available";
+    EXPECT_EQ(actionsOf<Release>(host.runUntil(kPrefillEnd + kLeaseLimit)).size(), 1U);
   }
 }
 
-// A decode engine that cannot be reached has taken nothing over: the lease runs on from the end of the
-// prefill.
-TEST(StateLease, AttemptsThatNeverConnectedDoNotLengthenTheLease) {
+// A decode engine that could not be reached has not taken the state, so the lease still counts from the end
+// of the prefill.
+TEST(StateLease, KeepsTheLimitWhenADecodeAttemptCannotConnect) {
   Settings settings = twoStageSettings();
   settings.stateLeaseLimit = Duration(0.4);
   settings.connectTimeout = Duration(0.25);
   PolicyHost host(settings);
-  host.engineList(
+  host.updateEngineList(
       1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode), engineEntry(3, Role::kDecode)});
   host.request(1.1, "a");
-  const std::uint32_t decodeEngine = sentTo(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
+  const std::uint32_t decodeEngine = selectedEngine(host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled));
   ASSERT_NE(decodeEngine, 0U);
   host.attemptEnded(1.45, "a", decodeEngine, Outcome::kConnectFailed);
-  EXPECT_EQ(only<Release>(host.last).size(), 1U);
-  for (const StartAttempt& send : only<StartAttempt>(host.last))
-    EXPECT_EQ(send.engine.value, 1U) << "it is prefilled anew";
+  EXPECT_EQ(actionsOf<Release>(host.lastActions).size(), 1U);
+  for (const StartAttempt& start : actionsOf<StartAttempt>(host.lastActions))
+    EXPECT_EQ(start.engine.value, 1U) << "only a new prefill may follow";
 }
 
-TEST(StateLease, AStateWithoutADecodeEngineIsReleasedWithinTheLimit) {
+TEST(StateLease, ReleasesStateWithinTheLimitWhenThereIsNoDecodeEngine) {
   PolicyHost host(twoStageSettings());
-  host.engineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
+  host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
   EngineEntry removed = engineEntry(2, Role::kDecode);
   removed.state = EngineEntry::State::kRemoved;
-  host.engineList(1.15, {removed}, EngineListUpdate::Scope::kDelta);
+  host.updateEngineList(1.15, {removed}, EngineListUpdate::Scope::kDelta);
   host.attemptEnded(1.2, "a", 1, Outcome::kPrefilled);
-  const auto seen = host.runUntil(1.2 + 0.5);
-  EXPECT_EQ(only<Release>(seen).size(), 1U);
-  EXPECT_EQ(finalResponses(seen), 1U);
+  const auto actions = host.runUntil(1.2 + 0.5);
+  EXPECT_EQ(actionsOf<Release>(actions).size(), 1U);
+  EXPECT_EQ(countFinalResponses(actions), 1U);
 }
 
 }  // namespace
--- a/tests/tenant_quotas_test.cpp
+++ b/tests/tenant_quotas_test.cpp
@@ -1,4 +1,4 @@
-// The token buckets of tenants, by themselves.
+// Unit tests of the tenants' token buckets.
 #include "policy/tenant_quotas.h"
 
 #include <gtest/gtest.h>
@@ -21,35 +21,36 @@
   return request;
 }
 
-int requestsWithinQuota(TenantQuotas& quotas, std::size_t tenant, Instant now) {
-  int within = 0;
-  while (within < 1000 && quotas.consume(requestOf(tenant), now)) ++within;
-  return within;
+// Consumes the quota until it is exhausted; returns the number of requests, at most 1000.
+int consumeQuota(TenantQuotas& quotas, std::size_t tenant, Instant now) {
+  int consumed = 0;
+  while (consumed < 1000 && quotas.consume(requestOf(tenant), now)) ++consumed;
+  return consumed;
 }
 
-TEST(TenantQuotas, ABucketHoldsItsBurstAndChance) {
+TEST(TenantQuotas, BucketHoldsTheBurstAndThreeDeviations) {
   TenantQuotas quotas;
   quotas.applySettings(settingsWith({{0.5, 8}}, 2), at(0));
-  // This router's part is 4 a second: 16 in four seconds, three deviations of 4, and one.
-  EXPECT_EQ(requestsWithinQuota(quotas, 0, at(0)), 29);
-  EXPECT_EQ(requestsWithinQuota(quotas, 0, at(1)), 4) << "filled at 4 a second";
+  // This router's share is 4 per second. The bucket holds 16 for 4 s, three standard deviations of 4, and 1.
+  EXPECT_EQ(consumeQuota(quotas, 0, at(0)), 29);
+  EXPECT_EQ(consumeQuota(quotas, 0, at(1)), 4) << "it is refilled at 4 per second";
 }
 
-TEST(TenantQuotas, UnknownTenantsAndQuotasAreNotLimited) {
+TEST(TenantQuotas, DoesNotLimitUnknownTenantsOrTenantsWithoutQuota) {
   TenantQuotas quotas;
   quotas.applySettings(settingsWith({{0.5, 0}}, 1), at(0));
-  EXPECT_EQ(requestsWithinQuota(quotas, 0, at(0)), 1000);
-  EXPECT_EQ(requestsWithinQuota(quotas, 5, at(0)), 1000);
+  EXPECT_EQ(consumeQuota(quotas, 0, at(0)), 1000);
+  EXPECT_EQ(consumeQuota(quotas, 5, at(0)), 1000);
   EXPECT_TRUE(quotas.consume(RequestArrived{}, at(0)));
 }
 
-TEST(TenantQuotas, NewSettingsKeepTheBucketsOfKnownTenants) {
+TEST(TenantQuotas, KeepsTheBucketsOfKnownTenantsWhenSettingsChange) {
   TenantQuotas quotas;
   quotas.applySettings(settingsWith({{0.5, 4}}, 1), at(0));
-  EXPECT_EQ(requestsWithinQuota(quotas, 0, at(0)), 29);
+  EXPECT_EQ(consumeQuota(quotas, 0, at(0)), 29);
   quotas.applySettings(settingsWith({{0.5, 4}, {0.5, 4}}, 1), at(0));
-  EXPECT_EQ(requestsWithinQuota(quotas, 0, at(0)), 0);
-  EXPECT_EQ(requestsWithinQuota(quotas, 1, at(0)), 29);
+  EXPECT_EQ(consumeQuota(quotas, 0, at(0)), 0);
+  EXPECT_EQ(consumeQuota(quotas, 1, at(0)), 29);
 }
 
 }  // namespace
