--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -110,8 +110,8 @@
   lab::ScenarioOptions scenarioOptions;
   scenarioOptions.nodeBinary = pathNextToExecutable("gannetcourse");
   addScenarioOptions(*day, file, scenarioOptions);
-  CLI::App* const bench =
-      app.add_subcommand("bench", "measure the cost of the node, as ratios within one run");
+  CLI::App* const bench = app.add_subcommand(
+      "bench", "compare the node's throughput and latency with a relay and with direct calls to the engines");
   lab::BenchOptions benchOptions;
   benchOptions.nodeBinary = scenarioOptions.nodeBinary;
   addBenchOptions(*bench, benchOptions);
--- a/soak/audit.py
+++ b/soak/audit.py
@@ -18,8 +18,9 @@
 RELEASE_AFTER_OUTAGE = 0.65  # from the end of an outage of all engines to the release of overdue leases
 EVENT_ORDER_TOLERANCE = 0.05  # events of two processes that are this close may be logged in either order
 DRAIN_GRACE = 0.25 + 0.05  # how long a node may still send to an engine after the notice of the engine's drain
-# For requests sent at most this long after SIGTERM, SIGKILL may excuse a missing response (see excused_by_kill). Later
-# ones must get their complete response before SIGKILL, unless they are sent just before it.
+# A request sent up to this long after SIGTERM may stay without a response if the node is then killed (conditions:
+# excused_by_kill). A request sent later must get its complete response before SIGKILL, unless it was sent just before
+# SIGKILL.
 SHUTDOWN_ACCEPT_PERIOD = 0.7
 DEADLINE_SLACK = 0.5  # a response that misses its deadline by less is not reported as lost
 BUDGET_SLACK = 0.15  # by how much the deadline sent to an engine may exceed the time that the request has left
@@ -151,8 +152,9 @@
                 if rejected and runs:
                     yield f"duplicate: {request_id} was rejected, but ran"
             if request["cls"] == "keyed" and runs:
-                # The node must send a repeat within the class's window. The time of sending is checked rather than the
-                # time of arrival, because the network path may delay a repeat that was sent in time.
+                # If the node sends a keyed request again, it must do so within the class's deduplication window. The
+                # time of sending is checked rather than the time of arrival, because the network path may delay a
+                # repeat that was sent in time.
                 decode_engines = {">" + b["who"] for b in by_kind["began"] if b["role"] == "decode"}
                 repeats = [
                     e["t"]
--- a/soak/paths.py
+++ b/soak/paths.py
@@ -4,7 +4,7 @@
 
 # Modes of the fault proxy in which it does not forward requests, responses or both.
 SILENT_MODES = ("hold", "deaf", "mute")
-# Seconds for which an engine has to be reachable before a node is expected to have detected that it is.
+# Time in seconds that a node may take to detect that an engine is reachable again.
 DETECTION_TIME = 0.2
 
 
--- a/src/daemon/configuration_reloader.h
+++ b/src/daemon/configuration_reloader.h
@@ -18,8 +18,8 @@
   ConfigurationReloader(const ConfigurationReloader&) = delete;
   ConfigurationReloader& operator=(const ConfigurationReloader&) = delete;
 
-  /// Starts a reload with the full number of attempts. Logs success, and each failure that differs from the
-  /// previous one.
+  /// Starts a reload and resets its retry limit: earlier failed tries do not count. Logs success, and each
+  /// failure that differs from the previous one.
   void reload();
 
  private:
--- a/src/discovery/engine_list.h
+++ b/src/discovery/engine_list.h
@@ -43,7 +43,7 @@
   std::uint32_t zoneNumber(const std::string& name) const;
   /// Converts a wall-clock time to the router's clock; nothing for 0.
   std::optional<Instant> toInstant(std::int64_t unixMs) const { return clock_.instant(unixMs); }
-  /// Fills in the zone index and the instants of an engine.
+  /// Sets the engine's zone index, and its start and shutdown times on the router's clock.
   void resolve(Engine& engine) const;
 
  private:
--- a/src/engines/engine_transport.h
+++ b/src/engines/engine_transport.h
@@ -9,7 +9,8 @@
 
 namespace gannetcourse::engines {
 
-/// Receives the events of engines. The methods correspond to those of router::Core, without the time.
+/// Receives the events of engines. Each method corresponds to one of router::Core, but has no parameter for
+/// the current time.
 class EngineEventHandler {
  public:
   virtual ~EngineEventHandler() = default;
--- a/src/policy/cost_model.cpp
+++ b/src/policy/cost_model.cpp
@@ -105,9 +105,9 @@
   typicalOf(request).add(elapsed, context_.now(), kLearning);
 }
 
-// A state that does not arrive in time shows that the link is slow, which all prefill engines of the cell
-// share. If only completed transfers were counted, a congested link would look fast, and the decode engines
-// would be taken for slow.
+// A state that does not arrive in time shows that the link is slow. All prefill engines of the cell share
+// this link. If only completed transfers were counted, a congested link would look fast, and the decode
+// engines would be taken for slow.
 bool CostModel::recordSlowTransfer(const Engine& decodeEngine, const Request& request, Duration elapsed) {
   const Engine* const from = registry_.find(request.prefillEngine);
   if (request.stage != RequestStage::kDecoding || from == nullptr) return false;
--- a/src/policy/stream_pace.h
+++ b/src/policy/stream_pace.h
@@ -29,7 +29,7 @@
   /// A stream has completed successfully.
   void recordCompleted(Engine& engine, const Request& request);
 
-  /// Length of the engine's streams relative to that of the median engine; 1 = equal.
+  /// How much longer the engine's streams last than those of the median engine, as a ratio; 1 = equally long.
   double slowdown(const Engine& engine) const { return relativeLength(engine) / median_; }
 
  private:
--- a/src/policy/tuning.h
+++ b/src/policy/tuning.h
@@ -98,7 +98,8 @@
 inline constexpr Duration kLastResortCost{100};
 /// Memory assumed for an engine that is listed without it.
 inline constexpr Tokens kEngineMemoryPrior = 2e5;
-/// Share of its memory above which a decode engine is avoided.
+/// A decode engine is avoided if more than this share of its memory is in use. The share can exceed 1, see
+/// kMaxReportedUtilization.
 inline constexpr double kMemoryNearlyFull = 1.0;
 /// Cost added to a decode engine that queues requests or has too little memory left, as a share of the
 /// shortest objective. Also added for each unit by which an engine's relative stream length exceeds
@@ -164,12 +165,12 @@
 inline constexpr double kHalfOpenScore = kEjectionScore / 2;
 /// Steps added to a failure score when an attempt fails, unless one of the following cases applies.
 inline constexpr double kFailureSteps = 1;
-/// Steps for an attempt without an answer before its timeout.
+/// Steps added to the failure score for an attempt without an answer before its timeout.
 inline constexpr double kSilenceSteps = 2;
-/// Steps for a reset connection. Few, because a single reset may be harmless. If the engine's process has
-/// ended, further resets and refused connections follow.
+/// Steps added to the failure score for a reset connection. The number is small because a single reset may be
+/// harmless. If the engine's process has ended, further resets and refused connections follow.
 inline constexpr double kResetSteps = 1;
-/// Steps for a connection that could not be established.
+/// Steps added to the failure score for a connection that could not be established.
 inline constexpr double kConnectFailedSteps = 2;
 /// Steps added to the suspicion of an engine when contact to other engines of its cell is lost.
 inline constexpr double kCellSuspicionSteps = 1;
--- a/tests/channel_test.cpp
+++ b/tests/channel_test.cpp
@@ -87,7 +87,8 @@
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kRejected);
 }
 
-// A stream above the last stream id of a GOAWAY was not processed, so every request may be retried.
+// The server has not processed a stream above the last stream id of its GOAWAY, so its request may be
+// retried, even if it is at-most-once.
 TEST_F(ChannelTest, ReportsStreamAboveGoawayLimitAsNotRun) {
   const CallEnd end =
       endAfterResponse(encodeFrame(kGoaway, 0, 0, encodeBigEndian(0, 4) + encodeBigEndian(0, 4)));
@@ -96,7 +97,7 @@
 }
 
 // Guards against retries of at-most-once requests that the server may have run before the reset.
-TEST_F(ChannelTest, ReportsOtherResetAsPossiblyRun) {
+TEST_F(ChannelTest, ReportsInternalErrorResetAsPossiblyRun) {
   const CallEnd end = endAfterResponse(encodeFrame(kReset, 0, 1, encodeBigEndian(http2::kInternalError, 4)));
   EXPECT_EQ(end.kind, CallEnd::Kind::kReset);
   EXPECT_EQ(engines::outcomeOf(end), Outcome::kReset);
--- a/tests/connection_state_test.cpp
+++ b/tests/connection_state_test.cpp
@@ -103,7 +103,7 @@
   }
 }
 
-TEST(ServerConnectionState, NeverDispatchesTwoRequestsAtOnceOrOneAfterClosing) {
+TEST(ServerConnectionState, DispatchesAtMostOneRequestAtATimeAndNoneAfterClosing) {
   std::mt19937 random(7);
   for (int round = 0; round < 2000; ++round) {
     ServerConnectionState state;
--- a/tests/core_parts_test.cpp
+++ b/tests/core_parts_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_FALSE(timers.takeDue(at(2)));
 }
 
-TEST(RequestTableTest, FindsRequestByKeyPolicyIdAndId) {
+TEST(RequestTableTest, FindsRequestByItsKeyOrIdOrPolicyId) {
   RequestTable requests;
   Request& request = requests.add(7, "n-1");
   EXPECT_EQ(requests.find(7), &request);
--- a/tests/fleet_admission_test.cpp
+++ b/tests/fleet_admission_test.cpp
@@ -108,7 +108,7 @@
   EXPECT_EQ(routersThatRejectAll(fleet.completedRequests()), 0U);
 }
 
-TEST_P(Admission, ServesLongPromptsTooAndFewRoutersRejectAllAtFullLoad) {
+TEST_P(Admission, AtFullLoadServesLongPromptsAndFewRoutersRejectAllRequests) {
   Fleet fleet(planAt(1.15, GetParam()));
   fleet.run(40);
   const ServedFractions fractions = servedFractionsOf(fleet.completedRequests());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -34,7 +34,8 @@
     attempts += fleet.attemptsAtRestartedEngines();
     RecordProperty("worst", std::to_string(worstOverload));
   }
-  std::printf("%s: worst %.2f, attempts at restarted %zu\n", GetParam().name, worstOverload, attempts);
+  std::printf("%s: worst overload %.2f, attempts at restarted engines %zu\n", GetParam().name, worstOverload,
+              attempts);
   EXPECT_LE(worstOverload, 1);
   EXPECT_GT(attempts, 0U);  // a budget that allows no attempts would meet the bound trivially
 }
--- a/tests/invariant_guard_test.cpp
+++ b/tests/invariant_guard_test.cpp
@@ -95,7 +95,8 @@
 TEST_F(InvariantGuardTest, BlocksRejectionOfAtMostOnceRequestDuringItsDecode) {
   guard.onRequestAccepted(kRequest, kAtMostOnceClass);
   guard.onAttemptStarted(at(1), kRequest, kPrefillEngine, CallKind::kPrefill);
-  EXPECT_EQ(guard.checkRejection(kRequest), std::nullopt) << "a prefill has no effect";
+  EXPECT_EQ(guard.checkRejection(kRequest), std::nullopt)
+      << "a request must be rejectable during its prefill";
   guard.onAttemptEnded(at(1.1), kRequest, Outcome::kPrefilled);
   guard.onAttemptStarted(at(1.2), kRequest, kDecodeEngine, CallKind::kDecode);
   EXPECT_EQ(guard.checkRejection(kRequest), Violation::kRejectedAfterStart);
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -73,8 +73,8 @@
   EXPECT_TRUE(ledger.finish(9).clean());
 }
 
-// Guards against an audit that misses a token that is duplicated, skipped or altered, or a response without
-// tokens.
+// The audit must count each duplicate, missing or altered token as a fault, and also a served response
+// without any token.
 TEST_F(LedgerTest, CountsDuplicateMissingAndWrongTokens) {
   for (const ClientAttemptId id : {16, 32, 48, 64}) ledger.onClientAttemptStarted(id, 0, 1, 5, 20);
   ledger.onClientToken(16, 0, answerText(16, 0));
--- a/tests/platform_daemon_test.cpp
+++ b/tests/platform_daemon_test.cpp
@@ -165,7 +165,7 @@
 }
 
 // Standard error is a full pipe that nobody reads, so that writing to the log would block the shutdown.
-TEST_F(PlatformDaemonTest, ExitsWhenLogPipeIsFull) {
+TEST_F(PlatformDaemonTest, ExitsOnSigtermWhenLogPipeIsFull) {
   int pipeEnds[2];
   ASSERT_EQ(pipe2(pipeEnds, O_CLOEXEC), 0);
   fcntl(pipeEnds[1], F_SETFL, O_NONBLOCK);
--- a/tests/policy_records_test.cpp
+++ b/tests/policy_records_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(0), at(60)), 1000 * std::exp(-1.0));
   EXPECT_DOUBLE_EQ(table.cachedTokens(7, {1}, at(1), at(2)), 0)
       << "the engine has started since the entry was recorded";
-  EXPECT_DOUBLE_EQ(table.cachedTokens(7, {2}, at(0), at(0)), 0) << "another engine";
+  EXPECT_DOUBLE_EQ(table.cachedTokens(7, {2}, at(0), at(0)), 0) << "the prefix was cached at engine 1 only";
   table.record(0, {1}, 1000, at(0));
   EXPECT_DOUBLE_EQ(table.cachedTokens(0, {1}, at(0), at(0)), 0) << "no key";
 }
--- a/tests/retry_safety_test.cpp
+++ b/tests/retry_safety_test.cpp
@@ -166,7 +166,7 @@
   }
 }
 
-TEST(RetrySafetyRules, AllowsRetryOnlyInTheDedupScopeOfTheFirstRun) {
+TEST(RetrySafetyRules, AllowsRetryOnlyWhereTheFirstAttemptIsDeduplicated) {
   const DedupScope scopes[] = {DedupScope::kAll, DedupScope::kZone, DedupScope::kCell};
   for (const DedupScope scope : scopes) {
     const policy::DecisionContext context(settingsWith(Idempotency::kIdempotencyKey, scope));
--- a/tests/soak_audit_test.py
+++ b/tests/soak_audit_test.py
@@ -108,7 +108,7 @@
     yield True, "the decode attempt never arrives and the lease is overdue", run_with_decode_on_silent_path(
         event(13, "r1", "released", id="a")
     )
-    yield False, "the decode attempt never arrives, released in time", run_with_decode_on_silent_path(
+    yield False, "the decode attempt never arrives, and the state is released in time", run_with_decode_on_silent_path(
         event(10.8, "r1", "released", id="a")
     )
     yield True, "a reservation that no attempt uses", run_with_decode_on_silent_path(
@@ -137,7 +137,7 @@
     with_later_second_state = [
         {**e, "t": 11.5} if e["who"] == "r2" and e["what"] in ("held", "ended") else e for e in with_second_state
     ]
-    yield False, "a second state of a killed node", [
+    yield False, "a second state is held, but its node was killed before the release was due", [
         *with_later_second_state,
         event(10.25, "soak", "sigkill", node="n0"),
     ]
@@ -145,7 +145,7 @@
         *with_second_state,
         event(16, "soak", "sigkill", node="n0"),
     ]
-    yield True, "a second state of a node that exited without being killed", [
+    yield True, "a second state is held after its node exited without being killed", [
         *with_later_second_state,
         event(11.6, "soak", "node_down", node="n0"),
     ]
--- a/tests/state_lease_test.cpp
+++ b/tests/state_lease_test.cpp
@@ -41,7 +41,7 @@
   std::uint32_t decodeEngine = 0;
 };
 
-TEST(StateLease, ReleasesStateWithinTheLimitWhenTheDecodeIsNotAnswered) {
+TEST(StateLease, ReleasesStateWithinTheLeaseLimitWhenTheDecodeIsNotAnswered) {
   for (const Idempotency idempotency : kIdempotencies) {
     DecodingRequest decoding(idempotency);
     const auto actions = decoding.host.runUntil(kPrefillEnd + kLeaseLimit);
@@ -126,10 +126,11 @@
   host.attemptEnded(1.45, "a", decodeEngine, Outcome::kConnectFailed);
   EXPECT_EQ(actionsOf<Release>(host.lastActions).size(), 1U);
   for (const StartAttempt& start : actionsOf<StartAttempt>(host.lastActions))
-    EXPECT_EQ(start.engine.value, 1U) << "only a new prefill may follow";
+    EXPECT_EQ(start.engine.value, 1U)
+        << "the state was released, so the next attempt must be a prefill at engine 1";
 }
 
-TEST(StateLease, ReleasesStateWithinTheLimitWhenThereIsNoDecodeEngine) {
+TEST(StateLease, ReleasesStateWithinTheLeaseLimitWhenThereIsNoDecodeEngine) {
   PolicyHost host(twoStageSettings());
   host.updateEngineList(1, {engineEntry(1, Role::kPrefill), engineEntry(2, Role::kDecode)});
   host.request(1.1, "a");
