--- a/tests/soak_audit_test.py
+++ b/tests/soak_audit_test.py
@@ -122,6 +122,16 @@
         event(10.5, "w0", "ended", id="a", role="decode", complete=False),
         event(20, "r1", "up"),
     ]
+    yield from lease_runs_with_second_state()
+    yield False, "no engine can be reached", run_with_decode_on_silent_path(
+        *(event(10.105, "proxy0", "mode", engine=e, mode="hold") for e in ("r0", "r1", "r9")),
+        event(14, "proxy0", "mode", engine="r1", mode="pass"),
+        event(14.5, "r1", "released", id="a"),
+    )
+
+
+def lease_runs_with_second_state():
+    """The same for a second state of the request, which a repeated prefill has left at another engine."""
     stream = [
         event(10.15, "r2", "began", id="a", role="prefill", budget=1480, cls="chat", fault="none"),
         event(10.3, "r2", "held", id="a"),
@@ -149,11 +159,6 @@
         *with_later_second_state,
         event(11.6, "soak", "node_down", node="n0"),
     ]
-    yield False, "no engine can be reached", run_with_decode_on_silent_path(
-        *(event(10.105, "proxy0", "mode", engine=e, mode="hold") for e in ("r0", "r1", "r9")),
-        event(14, "proxy0", "mode", engine="r1", mode="pass"),
-        event(14.5, "r1", "released", id="a"),
-    )
 
 
 def overlap_runs():
