--- a/include/gannetcourse/router.h
+++ b/include/gannetcourse/router.h
@@ -231,7 +231,7 @@
   kStateLeaseExpired,        ///< A state was held for longer than Settings::stateLeaseLimit.
   kCount
 };
-/// The name in the log and in the router's account line.
+/// The name in the log and in the router's statistics line.
 const char* nameOf(Violation violation);
 using ViolationCounts = std::array<std::uint64_t, static_cast<std::size_t>(Violation::kCount)>;
 std::uint64_t total(const ViolationCounts& counts);
